--- a/src/admission/DrainRate.cpp
+++ b/src/admission/DrainRate.cpp
@@ -37,7 +37,7 @@
     return endRate_;
 }
 
-Duration DrainRate::comeBackIn(Instant now, std::mt19937_64 &random)
+Duration DrainRate::retryDelay(Instant now, std::mt19937_64 &random)
 {
     roll(now);
     // Those refused in a second need as many places to become free before all of them fit.
--- a/src/admission/DrainRate.h
+++ b/src/admission/DrainRate.h
@@ -29,7 +29,7 @@
     double perSecond(kernel::Instant now);
 
     /** When to come back: 1 s to 60 s, with up to a half more by chance. */
-    kernel::Duration comeBackIn(kernel::Instant now, std::mt19937_64 &random);
+    kernel::Duration retryDelay(kernel::Instant now, std::mt19937_64 &random);
 
 private:
     void roll(kernel::Instant now);
--- a/src/admission/QuotaBook.cpp
+++ b/src/admission/QuotaTable.cpp
@@ -1,4 +1,4 @@
-#include "admission/QuotaBook.h"
+#include "admission/QuotaTable.h"
 
 #include <algorithm>
 
@@ -16,8 +16,8 @@
 
 } // namespace
 
-QuotaAnswer QuotaBook::ask(std::uint64_t organisation, const QuotaLimits &limits,
-                           const routing::Ask &ask, Instant now, std::mt19937_64 &random)
+QuotaAnswer QuotaTable::ask(std::uint64_t organisation, const QuotaLimits &limits,
+                            const routing::PermitRequest &ask, Instant now, std::mt19937_64 &random)
 {
     Quota &own = quota(organisation, now);
     if (limits.perMinute != own.perMinute) {
@@ -30,11 +30,12 @@
         own.drain.noteRefusal(now);
         return {GrantResult::Full, wait};
     }
-    const routing::Bounds bounds{limits.atOnce, limits.atOnce, limits.atOnce, 0};
+    const routing::Bounds bounds{limits.maxConcurrent, limits.maxConcurrent, limits.maxConcurrent,
+                                 0};
     const GrantResult result = own.ledger.ask(ask, bounds, now);
     if (result != GrantResult::Granted) {
         own.drain.noteRefusal(now);
-        return {result, own.drain.comeBackIn(now, random)};
+        return {result, own.drain.retryDelay(now, random)};
     }
     if (own.perMinute > 0) {
         own.starts.take(now);
@@ -42,7 +43,7 @@
     return {result, Duration::zero()};
 }
 
-bool QuotaBook::giveBack(std::uint64_t organisation, std::uint64_t request, Instant now)
+bool QuotaTable::giveBack(std::uint64_t organisation, std::uint64_t request, Instant now)
 {
     const auto place = quotas_.find(organisation);
     if (place == quotas_.end()) {
@@ -54,12 +55,12 @@
     return true;
 }
 
-void QuotaBook::renew(std::uint64_t organisation, const routing::Ask &ask, Instant now)
+void QuotaTable::renew(std::uint64_t organisation, const routing::PermitRequest &ask, Instant now)
 {
     quota(organisation, now).ledger.renew(ask, now);
 }
 
-std::size_t QuotaBook::expire(Instant now)
+std::size_t QuotaTable::expire(Instant now)
 {
     std::size_t expired = 0;
     for (auto &[organisation, own] : quotas_) {
@@ -71,7 +72,7 @@
     return expired;
 }
 
-QuotaBook::Quota &QuotaBook::quota(std::uint64_t organisation, Instant now)
+QuotaTable::Quota &QuotaTable::quota(std::uint64_t organisation, Instant now)
 {
     const auto place = quotas_.find(organisation);
     Quota &own =
--- a/src/admission/QuotaBook.h
+++ b/src/admission/QuotaTable.h
@@ -20,7 +20,7 @@
 /** What an organisation may have in one hall. */
 struct QuotaLimits
 {
-    std::uint32_t atOnce = 1;
+    std::uint32_t maxConcurrent = 1;
     std::uint32_t perMinute = 0; ///< 0: no limit.
 
     auto operator<=>(const QuotaLimits &) const = default;
@@ -30,25 +30,26 @@
 struct QuotaAnswer
 {
     routing::GrantResult result = routing::GrantResult::Full;
-    kernel::Duration comeBackIn{}; ///< Of a refusal.
+    kernel::Duration retryDelay{}; ///< Of a refusal.
 };
 
 /** All quotas that a box owns; made when first asked for. */
-class QuotaBook
+class QuotaTable
 {
 public:
-    explicit QuotaBook(routing::PermitPolicy policy)
+    explicit QuotaTable(routing::PermitPolicy policy)
         : policy_(policy)
     {
     }
 
-    QuotaAnswer ask(std::uint64_t organisation, const QuotaLimits &limits, const routing::Ask &ask,
-                    kernel::Instant now, std::mt19937_64 &random);
+    QuotaAnswer ask(std::uint64_t organisation, const QuotaLimits &limits,
+                    const routing::PermitRequest &ask, kernel::Instant now,
+                    std::mt19937_64 &random);
 
     /** Ends a permit. \return false if \a organisation has no quota here. */
     bool giveBack(std::uint64_t organisation, std::uint64_t request, kernel::Instant now);
 
-    void renew(std::uint64_t organisation, const routing::Ask &ask, kernel::Instant now);
+    void renew(std::uint64_t organisation, const routing::PermitRequest &ask, kernel::Instant now);
 
     /** Drops what wasn't renewed in time, and quotas that nobody uses. \return how many permits. */
     std::size_t expire(kernel::Instant now);
--- a/src/answer/EventSplitter.h
+++ b/src/answer/EventSplitter.h
@@ -24,7 +24,7 @@
     bool take(std::string_view part, std::vector<std::string> &events);
 
     /** Whether a part of an event is left over. */
-    bool inEvent() const { return !rest_.empty(); }
+    bool hasPartialEvent() const { return !rest_.empty(); }
 
 private:
     std::size_t mostBytes_;
--- a/src/forward/Dialect.h
+++ b/src/forward/Dialect.h
@@ -40,7 +40,7 @@
     std::function<AnswerHead(int status, const http::Fields &)> readHead;
 
     /** The fields of a refusal: the caller's request id and when to come back. */
-    std::function<http::Fields(const std::string &requestId, kernel::Duration comeBackIn)>
+    std::function<http::Fields(const std::string &requestId, kernel::Duration retryDelay)>
             refusalFields;
 
     /** The path at which a balancer asks whether the box is ready. */
--- a/src/gateway/BackendExchange.cpp
+++ b/src/gateway/BackendExchange.cpp
@@ -181,7 +181,7 @@
         }
         run_.context.counters.add("foreign_answers");
         if (surplus == MostSurplusAnswers) {
-            co_return tl::unexpected(http::CallFailure{outcome::Point::AnswerForeign, false,
+            co_return tl::unexpected(http::CallFailure{outcome::FailurePoint::AnswerForeign, false,
                                                        "answers of other requests came"});
         }
         auto body = co_await connection_->readAll(MostAnswerBytes);
@@ -233,7 +233,7 @@
     auto start = co_await readOwnHead();
     if (!start) {
         connection_->close();
-        const bool sent = start.error().point != outcome::Point::ConnectedUnsent;
+        const bool sent = start.error().point != outcome::FailurePoint::ConnectedUnsent;
         if (pooled_ && sent && run_.interrupt->reason != Interruption::CallerLeft) {
             pool_.doubt(server_.id, sentAt);
         }
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -437,8 +437,8 @@
     run_.context.counters.add("results", {{"kind", "refused"}, {"code", std::string(info.name)}});
     logEnd(run_, info.name, refusal.message);
     kernel::Duration comeBack{};
-    if (refusal.comeBackIn > 0s) {
-        comeBack = refusal.comeBackIn;
+    if (refusal.retryDelay > 0s) {
+        comeBack = refusal.retryDelay;
     } else if (refusal.comeBack) {
         comeBack = std::clamp<kernel::Duration>(run_.route.objective / 4, 50ms, 500ms);
     }
--- a/src/gateway/RequestRun.h
+++ b/src/gateway/RequestRun.h
@@ -37,7 +37,7 @@
         outcome::ResultCode code;
         std::string message;
         bool comeBack = false;
-        kernel::Duration comeBackIn{}; ///< Zero: as the route's objective suggests.
+        kernel::Duration retryDelay{}; ///< Zero: as the route's objective suggests.
     };
 
     std::optional<Refusal> admit();
--- a/src/http/Client.cpp
+++ b/src/http/Client.cpp
@@ -12,7 +12,7 @@
 namespace beast = boost::beast;
 namespace bhttp = boost::beast::http;
 using asio::ip::tcp;
-using outcome::Point;
+using outcome::FailurePoint;
 
 namespace {
 
@@ -46,7 +46,7 @@
         parser.body_limit(boost::none);
     }
 
-    CallFailure failure(Point point, beast::error_code error) const
+    CallFailure failure(FailurePoint point, beast::error_code error) const
     {
         // The limit closes the socket, so the operation itself only says that it was cancelled.
         const bool timedOut = limit.expired().has_value();
@@ -85,13 +85,13 @@
     beast::error_code bad;
     const auto address = asio::ip::make_address(endpoint.address, bad);
     if (bad) {
-        co_return tl::unexpected(connection->failure(Point::BeforeConnect, bad));
+        co_return tl::unexpected(connection->failure(FailurePoint::BeforeConnect, bad));
     }
     const tcp::endpoint server(address, endpoint.port);
     limit.expireAfter(timeouts.connect, Awaited::Room);
     const auto [connectError] = co_await socket.async_connect(server, Quiet);
     if (connectError) {
-        co_return tl::unexpected(connection->failure(Point::BeforeConnect, connectError));
+        co_return tl::unexpected(connection->failure(FailurePoint::BeforeConnect, connectError));
     }
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -102,7 +102,8 @@
     const auto [writeError, sent] = co_await bhttp::async_write(socket, message, Quiet);
     connection->bytes.sent = sent;
     if (writeError) {
-        const Point point = sent == 0 ? Point::ConnectedUnsent : Point::PartSent;
+        const FailurePoint point =
+                sent == 0 ? FailurePoint::ConnectedUnsent : FailurePoint::PartSent;
         co_return tl::unexpected(connection->failure(point, writeError));
     }
     limit.nowAwait(Awaited::Bytes);
@@ -111,7 +112,7 @@
     limit.never();
     connection->bytes.received = headBytes;
     if (headError) {
-        co_return tl::unexpected(connection->failure(Point::AllSent, headError));
+        co_return tl::unexpected(connection->failure(FailurePoint::AllSent, headError));
     }
     co_return Stream(std::move(connection));
 }
@@ -155,7 +156,7 @@
         part.resize(PartBytes - body.size);
         if (error && error != bhttp::error::need_buffer) {
             if (part.empty()) {
-                co_return tl::unexpected(connection.failure(Point::AnswerBegun, error));
+                co_return tl::unexpected(connection.failure(FailurePoint::AnswerBegun, error));
             }
             // What came before the failure counts; the next read meets the failure again.
             break;
@@ -197,7 +198,7 @@
         answer.body += *part;
         if (answer.body.size() > mostBytes) {
             co_return tl::unexpected(
-                    CallFailure{Point::AnswerBegun, false, "the answer is too long"});
+                    CallFailure{FailurePoint::AnswerBegun, false, "the answer is too long"});
         }
     }
     co_return answer;
--- a/src/http/Client.h
+++ b/src/http/Client.h
@@ -22,7 +22,7 @@
 /** A call that failed. */
 struct CallFailure
 {
-    outcome::Point point = outcome::Point::BeforeConnect;
+    outcome::FailurePoint point = outcome::FailurePoint::BeforeConnect;
     bool timedOut = false;
     std::string message;
 };
--- a/src/http/KeptConnection.cpp
+++ b/src/http/KeptConnection.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 namespace bhttp = boost::beast::http;
 using asio::ip::tcp;
-using outcome::Point;
+using outcome::FailurePoint;
 
 namespace {
 
@@ -85,11 +85,11 @@
 
 CallFailure KeptConnection::failure(const boost::system::error_code &error) const
 {
-    Point point = Point::AllSent;
+    FailurePoint point = FailurePoint::AllSent;
     if (state_->parser && state_->parser->is_header_done()) {
-        point = Point::AnswerBegun;
+        point = FailurePoint::AnswerBegun;
     } else if (!state_->sending && !state_->anySent) {
-        point = Point::ConnectedUnsent;
+        point = FailurePoint::ConnectedUnsent;
     }
     return {point, false, error.message()};
 }
@@ -101,7 +101,7 @@
     boost::system::error_code bad;
     const auto address = asio::ip::make_address(endpoint.address, bad);
     if (bad) {
-        co_return tl::unexpected(CallFailure{Point::BeforeConnect, false, bad.message()});
+        co_return tl::unexpected(CallFailure{FailurePoint::BeforeConnect, false, bad.message()});
     }
     asio::steady_timer timer(io, longest);
     timer.async_wait([state = connection->state_](boost::system::error_code stopped) {
@@ -116,7 +116,8 @@
     timer.cancel();
     if (error || !socket.is_open()) {
         const bool timedOut = error == asio::error::operation_aborted;
-        co_return tl::unexpected(CallFailure{Point::BeforeConnect, timedOut, error.message()});
+        co_return tl::unexpected(
+                CallFailure{FailurePoint::BeforeConnect, timedOut, error.message()});
     }
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -217,7 +218,7 @@
         if (all.size() > mostBytes) {
             state_->failed = true;
             co_return tl::unexpected(
-                    CallFailure{Point::AnswerBegun, false, "the answer is too long"});
+                    CallFailure{FailurePoint::AnswerBegun, false, "the answer is too long"});
         }
     }
 }
--- a/src/membership/BackendHealth.cpp
+++ b/src/membership/BackendHealth.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void BackendHealth::noteGood(std::uint32_t incarnation, kernel::Instant now)
+void BackendHealth::noteProbeSuccess(std::uint32_t incarnation, kernel::Instant now)
 {
     bads_ = 0;
     if (usable_ && now - fell_ > ForgiveAfter) {
@@ -28,7 +28,7 @@
     usable_ = usable_ || goods_ >= goodsNeeded();
 }
 
-void BackendHealth::noteBad(kernel::Instant now)
+void BackendHealth::noteUnreachable(kernel::Instant now)
 {
     goods_ = 0;
     ++bads_;
--- a/src/membership/BackendHealth.h
+++ b/src/membership/BackendHealth.h
@@ -18,10 +18,10 @@
 {
 public:
     /** A probe was answered, by the incarnation \a incarnation. */
-    void noteGood(std::uint32_t incarnation, kernel::Instant now);
+    void noteProbeSuccess(std::uint32_t incarnation, kernel::Instant now);
 
     /** A probe or a request could not reach it. */
-    void noteBad(kernel::Instant now);
+    void noteUnreachable(kernel::Instant now);
 
     bool usable() const { return usable_; }
     std::uint32_t incarnation() const { return incarnation_; }
--- a/src/membership/BoxState.h
+++ b/src/membership/BoxState.h
@@ -55,7 +55,7 @@
     auto operator<=>(const BoxState &) const = default;
 
     /** Whether \a other says the same, versions aside. */
-    bool sameWord(const BoxState &other) const
+    bool equalExceptVersion(const BoxState &other) const
     {
         BoxState aligned = other;
         aligned.version = version;
@@ -75,12 +75,12 @@
 {
     ShortHash box = 0;
     std::uint8_t age =
-            0; ///< In quarters of the heartbeat period, rounded up; MostAge: that or more.
+            0; ///< In quarters of the heartbeat period, rounded up; MaxAge: that or more.
 
     auto operator<=>(const BoxAge &) const = default;
 };
 
 /** The greatest age that is told apart. It takes one byte on the wire. */
-inline constexpr std::uint8_t MostAge = 127;
+inline constexpr std::uint8_t MaxAge = 127;
 
 } // namespace limereel::membership
--- a/src/membership/HeartbeatTable.cpp
+++ b/src/membership/HeartbeatTable.cpp
@@ -78,7 +78,7 @@
     const std::vector<BoxAge> told = inOrder(ages);
     for (auto &[box, entry] : peers_) {
         const BoxAge *const age = ageOf(told, box);
-        if (age != nullptr && age->age < MostAge) {
+        if (age != nullptr && age->age < MaxAge) {
             takeSign(entry, now - policy_.period * age->age / QuartersPerPeriod, dead, now);
         }
     }
@@ -114,18 +114,20 @@
     }
     std::ranges::shuffle(missing, random);
     const std::size_t most =
-            std::max(policy_.introducedAtOnce, peers_.size() / policy_.introducedPart);
+            std::max(policy_.statesPerIntroduction, peers_.size() / policy_.introductionDivisor);
     missing.resize(std::min(missing.size(), most));
     missing.insert(missing.begin(), self_);
     return missing;
 }
 
 std::vector<std::vector<BoxState>>
-HeartbeatTable::inMessages(const std::vector<BoxState> &introduction) const
+HeartbeatTable::splitIntoMessages(const std::vector<BoxState> &introduction) const
 {
     std::vector<std::vector<BoxState>> messages;
-    for (std::size_t first = 1; first < introduction.size(); first += policy_.introducedAtOnce) {
-        const std::size_t last = std::min(first + policy_.introducedAtOnce, introduction.size());
+    for (std::size_t first = 1; first < introduction.size();
+         first += policy_.statesPerIntroduction) {
+        const std::size_t last =
+                std::min(first + policy_.statesPerIntroduction, introduction.size());
         std::vector<BoxState> &message = messages.emplace_back();
         message.push_back(introduction.front());
         message.insert(message.end(), introduction.begin() + static_cast<std::ptrdiff_t>(first),
@@ -346,7 +348,7 @@
     ++sinceTold_;
     // More often, and what is told again would crowd out what is new.
     const std::uint64_t refreshEvery = std::max<std::uint64_t>(policy_.refreshEvery, peers_.size());
-    if (self_.version > 0 && self_.sameWord(told_) && sinceTold_ < refreshEvery) {
+    if (self_.version > 0 && self_.equalExceptVersion(told_) && sinceTold_ < refreshEvery) {
         return;
     }
     ++self_.version;
@@ -449,8 +451,8 @@
         const Duration silent = now - entry.lastSign;
         if (entry.heard && silent <= dead) {
             const auto quarters = (silent + quarter - Duration(1)) / quarter;
-            result.push_back({shortHash(box), static_cast<std::uint8_t>(
-                                                      std::min<std::int64_t>(quarters, MostAge))});
+            result.push_back({shortHash(box),
+                              static_cast<std::uint8_t>(std::min<std::int64_t>(quarters, MaxAge))});
         }
     }
     return result;
--- a/src/membership/HeartbeatTable.h
+++ b/src/membership/HeartbeatTable.h
@@ -48,11 +48,11 @@
                                      ///< more boxes than that, as many periods as boxes.
     /** States in one message to one who lacks them: with an address each they stay under an MTU of
      * 1,500 bytes. */
-    std::size_t introducedAtOnce = 24;
+    std::size_t statesPerIntroduction = 24;
     /** Such messages are sent for at least this part of the boxes that are known, so that a fleet
      * that starts knows itself in as many periods whatever its size. With one message each time,
      * 1,000 boxes needed 26 periods and as many more for each further 1,000. */
-    std::size_t introducedPart = 8;
+    std::size_t introductionDivisor = 8;
     kernel::Duration suspectAfter = 8s; ///< At least; longer with many boxes.
     kernel::Duration deadAfter = 14s;   ///< At least; see HeartbeatTable::deadAfter().
     kernel::Duration dampFor = 10s;     ///< First damping; doubled for each further death.
@@ -94,7 +94,8 @@
                                           std::mt19937_64 &random) const;
 
     /** An introduction in messages that fit into a datagram each, the own state first in all. */
-    std::vector<std::vector<BoxState>> inMessages(const std::vector<BoxState> &introduction) const;
+    std::vector<std::vector<BoxState>>
+    splitIntoMessages(const std::vector<BoxState> &introduction) const;
 
     /** Notes that a box didn't answer a direct message; it is suspected until it is heard of again.
      */
--- a/src/membership/Ownership.cpp
+++ b/src/membership/Ownership.cpp
@@ -2,7 +2,7 @@
 
 namespace limereel::membership {
 
-std::vector<std::uint64_t> ownersInLine(std::uint64_t thing,
+std::vector<std::uint64_t> rankedOwners(std::uint64_t thing,
                                         const std::vector<std::uint64_t> &owners, std::size_t count)
 {
     std::vector<std::uint64_t> line;
--- a/src/membership/Ownership.h
+++ b/src/membership/Ownership.h
@@ -23,6 +23,6 @@
 
 /** The first \a count boxes in line for \a thing; the second takes over when the first is gone. */
 std::vector<std::uint64_t>
-ownersInLine(std::uint64_t thing, const std::vector<std::uint64_t> &owners, std::size_t count);
+rankedOwners(std::uint64_t thing, const std::vector<std::uint64_t> &owners, std::size_t count);
 
 } // namespace limereel::membership
--- a/src/outcome/Attempt.cpp
+++ b/src/outcome/Attempt.cpp
@@ -4,22 +4,22 @@
 
 namespace {
 
-ResultCode codeOf(Point point)
+ResultCode codeOf(FailurePoint point)
 {
     switch (point) {
-    case Point::BeforeConnect:
-    case Point::ConnectedUnsent:
+    case FailurePoint::BeforeConnect:
+    case FailurePoint::ConnectedUnsent:
         return ResultCode::ConnectFailed;
-    case Point::RefusedUnstarted:
+    case FailurePoint::RefusedUnstarted:
         return ResultCode::BackendRefused;
-    case Point::AnswerBegun:
+    case FailurePoint::AnswerBegun:
         return ResultCode::StreamCut;
-    case Point::AnsweredFailure:
+    case FailurePoint::AnsweredFailure:
         return ResultCode::BackendFailed;
-    case Point::AnswerForeign:
+    case FailurePoint::AnswerForeign:
         return ResultCode::ForeignAnswer;
-    case Point::PartSent:
-    case Point::AllSent:
+    case FailurePoint::PartSent:
+    case FailurePoint::AllSent:
         break;
     }
     return ResultCode::AnswerLost;
@@ -27,7 +27,7 @@
 
 } // namespace
 
-Verdict judge(Point point, const Request &request)
+Verdict classifyFailure(FailurePoint point, const Request &request)
 {
     const ResultCode code = codeOf(point);
     const Ran ran = info(code).ran;
@@ -35,28 +35,28 @@
         return {code, ran, false};
     }
     // A failure that the server itself answered would most likely come again.
-    const bool repeatHelps = request.repeatable && point != Point::AnsweredFailure;
+    const bool repeatHelps = request.repeatable && point != FailurePoint::AnsweredFailure;
     return {code, ran, ran == Ran::NotRun || repeatHelps};
 }
 
-const char *text(Point point)
+const char *text(FailurePoint point)
 {
     switch (point) {
-    case Point::BeforeConnect:
+    case FailurePoint::BeforeConnect:
         return "before-connect";
-    case Point::ConnectedUnsent:
+    case FailurePoint::ConnectedUnsent:
         return "connected-unsent";
-    case Point::PartSent:
+    case FailurePoint::PartSent:
         return "part-sent";
-    case Point::AllSent:
+    case FailurePoint::AllSent:
         return "all-sent";
-    case Point::RefusedUnstarted:
+    case FailurePoint::RefusedUnstarted:
         return "refused-unstarted";
-    case Point::AnswerBegun:
+    case FailurePoint::AnswerBegun:
         return "answer-begun";
-    case Point::AnsweredFailure:
+    case FailurePoint::AnsweredFailure:
         return "answered-failure";
-    case Point::AnswerForeign:
+    case FailurePoint::AnswerForeign:
         break;
     }
     return "answer-foreign";
--- a/src/outcome/Attempt.h
+++ b/src/outcome/Attempt.h
@@ -14,7 +14,7 @@
 namespace limereel::outcome {
 
 /** How far an attempt had come when it failed. */
-enum class Point : std::uint8_t {
+enum class FailurePoint : std::uint8_t {
     BeforeConnect,    ///< No connection was made.
     ConnectedUnsent,  ///< Connected; no byte of the request was written.
     PartSent,         ///< At least one byte was handed to the network.
@@ -43,9 +43,9 @@
 };
 
 /** Judges an attempt that failed at \a point. */
-Verdict judge(Point point, const Request &request);
+Verdict classifyFailure(FailurePoint point, const Request &request);
 
 /** The name of \a point for logs and counters. */
-const char *text(Point point);
+const char *text(FailurePoint point);
 
 } // namespace limereel::outcome
--- a/src/outcome/Story.cpp
+++ b/src/outcome/AttemptSummary.cpp
@@ -1,4 +1,4 @@
-#include "outcome/Story.h"
+#include "outcome/AttemptSummary.h"
 
 namespace limereel::outcome {
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void Story::add(const Verdict &verdict)
+void AttemptSummary::add(const Verdict &verdict)
 {
     latest_ = verdict;
     if (weight(verdict.ran) > weight(furthest_.ran)) {
@@ -28,7 +28,7 @@
     }
 }
 
-Verdict Story::tell(const Verdict &last) const
+Verdict AttemptSummary::finalVerdict(const Verdict &last) const
 {
     if (weight(furthest_.ran) > weight(last.ran)) {
         return furthest_;
--- a/src/outcome/Story.h
+++ b/src/outcome/AttemptSummary.h
@@ -11,7 +11,7 @@
 namespace limereel::outcome {
 
 /** Collects the verdicts of one request's attempts. */
-class Story
+class AttemptSummary
 {
 public:
     /** Adds an attempt that failed. */
@@ -22,10 +22,10 @@
      * nothing is left to try is no news after attempts that failed: then the latest of these is
      * told.
      */
-    Verdict tell(const Verdict &last) const;
+    Verdict finalVerdict(const Verdict &last) const;
 
     /** Whether nothing that failed so far ran. */
-    bool surelyNotRun() const { return furthest_.ran == Ran::NotRun; }
+    bool noAttemptRan() const { return furthest_.ran == Ran::NotRun; }
 
 private:
     Verdict furthest_{ResultCode::Ok, Ran::NotRun, false};
--- a/src/outcome/NextStep.h
+++ b/src/outcome/NextStep.h
@@ -11,7 +11,7 @@
 /** What follows a failed attempt. */
 struct NextStep
 {
-    bool again = false;
+    bool retry = false;
     Verdict verdict; ///< To be told if there is no other attempt.
 
     auto operator<=>(const NextStep &) const = default;
--- a/src/placement/FencedLease.h
+++ b/src/placement/FencedLease.h
@@ -75,7 +75,7 @@
     /** The token to put on an order at \a now; nothing if this box may give none. */
     std::optional<std::uint64_t> tokenFor(bool serverChecksToken, kernel::Instant now) const;
 
-    const std::optional<LeaseRecord> &seen() const { return seen_; }
+    const std::optional<LeaseRecord> &lastRead() const { return seen_; }
 
 private:
     bool isOurs() const { return seen_ && seen_->holder == self_; }
--- a/src/placement/Planner.cpp
+++ b/src/placement/Planner.cpp
@@ -51,7 +51,7 @@
                           kernel::hashOf(engine.name + "/" + model));
     };
     for (EngineView &engine : engines) {
-        const bool fits = engine.usable && engine.models.size() < engine.room
+        const bool fits = engine.usable && engine.models.size() < engine.modelCapacity
                           && !engine.models.contains(model);
         if (fits && (best == nullptr || rank(engine) < rank(*best))) {
             best = &engine;
--- a/src/placement/Planner.h
+++ b/src/placement/Planner.h
@@ -24,7 +24,7 @@
 {
     std::string name;
     bool usable = true;                 ///< Answers and isn't leaving.
-    std::size_t room = 1;               ///< Models that fit at once.
+    std::size_t modelCapacity = 1;      ///< Models that fit at once.
     std::map<std::string, bool> models; ///< What it holds; true once ready.
     std::uint32_t inFlight = 0;
 
--- a/src/routing/LoadEstimate.cpp
+++ b/src/routing/LoadEstimate.cpp
@@ -14,7 +14,7 @@
         return spoken;
     }
     const double gained =
-            (ownNow - static_cast<double>(report.ownThen)) / static_cast<double>(ownEngines);
+            (ownNow - static_cast<double>(report.ownAtReport)) / static_cast<double>(ownEngines);
     return std::max(0.0, spoken + gained * static_cast<double>(report.engines));
 }
 
--- a/src/routing/LoadEstimate.h
+++ b/src/routing/LoadEstimate.h
@@ -19,7 +19,7 @@
 {
     std::uint64_t inFlight = 0; ///< On its engines, when it spoke.
     std::uint64_t engines = 0;
-    std::uint64_t ownThen = 0; ///< In flight on own engines, when it spoke.
+    std::uint64_t ownAtReport = 0; ///< In flight on own engines, when it spoke.
 };
 
 /** In flight on all engines of a model, as far as can be told.
--- a/src/routing/LoadBook.cpp
+++ b/src/routing/LoadTable.cpp
@@ -1,4 +1,4 @@
-#include "routing/LoadBook.h"
+#include "routing/LoadTable.h"
 
 #include "routing/LoadEstimate.h"
 
@@ -11,7 +11,7 @@
 using kernel::Instant;
 using membership::ShortHash;
 
-void LoadBook::noteBeat(OwnLoads own, std::size_t reportAge)
+void LoadTable::noteHeartbeat(OwnLoads own, std::size_t reportAge)
 {
     past_.push_front(std::move(own));
     if (past_.size() > MostPast) {
@@ -20,19 +20,19 @@
     reportAge_ = std::max<std::size_t>(1, reportAge);
 }
 
-void LoadBook::noteSpoken(std::uint64_t box, ShortHash model, std::uint32_t load, std::uint32_t own,
-                          Instant now)
+void LoadTable::noteReport(std::uint64_t box, ShortHash model, std::uint32_t load,
+                           std::uint32_t own, Instant now)
 {
     spoken_[{box, model}] = {load, own, now};
 }
 
-void LoadBook::forget(Duration age, Instant now)
+void LoadTable::forget(Duration age, Instant now)
 {
     std::erase_if(spoken_, [age, now](const auto &entry) { return now - entry.second.at > age; });
 }
 
-std::uint64_t LoadBook::inFlight(ShortHash model, std::span<const KnownLoad> engines,
-                                 Instant now) const
+std::uint64_t LoadTable::inFlight(ShortHash model, std::span<const KnownLoad> engines,
+                                  Instant now) const
 {
     std::uint64_t ownNow = 0;
     std::uint64_t ownEngines = 0;
@@ -50,11 +50,11 @@
     const Duration heartbeatsOld = period_ * static_cast<std::int64_t>(reportAge_);
     std::vector<OwnerReport> reports;
     for (auto &[box, report] : others) {
-        report.ownThen = ownThen(engines);
+        report.ownAtReport = ownAtReport(engines);
         const auto spoken = spoken_.find({box, model});
         if (spoken != spoken_.end() && now - spoken->second.at < heartbeatsOld) {
             report.inFlight = spoken->second.load;
-            report.ownThen = spoken->second.ownThen;
+            report.ownAtReport = spoken->second.ownAtReport;
         }
         reports.push_back(report);
     }
@@ -62,7 +62,7 @@
 }
 
 // The own load when the heartbeats were sent that are known now.
-std::uint64_t LoadBook::ownThen(std::span<const KnownLoad> engines) const
+std::uint64_t LoadTable::ownAtReport(std::span<const KnownLoad> engines) const
 {
     if (past_.empty()) {
         return 0;
--- a/src/routing/LoadBook.h
+++ b/src/routing/LoadTable.h
@@ -30,21 +30,21 @@
 using OwnLoads = std::unordered_map<std::uint64_t, std::uint32_t>;
 
 /** The book of one owner. */
-class LoadBook
+class LoadTable
 {
 public:
     /** \param period of the heartbeats. */
-    explicit LoadBook(kernel::Duration period)
+    explicit LoadTable(kernel::Duration period)
         : period_(period)
     {
     }
 
     /** Notes the own loads at a heartbeat, and how many periods old what others said in theirs is.
      */
-    void noteBeat(OwnLoads own, std::size_t reportAge);
+    void noteHeartbeat(OwnLoads own, std::size_t reportAge);
 
     /** Notes that \a box has \a load on its engines of \a model, while this one had \a own. */
-    void noteSpoken(std::uint64_t box, membership::ShortHash model, std::uint32_t load,
+    void noteReport(std::uint64_t box, membership::ShortHash model, std::uint32_t load,
                     std::uint32_t own, kernel::Instant now);
 
     /** Forgets words older than \a age. */
@@ -61,11 +61,11 @@
     struct Spoken
     {
         std::uint32_t load = 0;
-        std::uint32_t ownThen = 0;
+        std::uint32_t ownAtReport = 0;
         kernel::Instant at;
     };
 
-    std::uint64_t ownThen(std::span<const KnownLoad> engines) const;
+    std::uint64_t ownAtReport(std::span<const KnownLoad> engines) const;
 
     kernel::Duration period_;
     std::size_t reportAge_ = 1;
--- a/src/routing/PermitHistory.cpp
+++ b/src/routing/PermitHistory.cpp
@@ -13,7 +13,7 @@
     }
 }
 
-std::uint32_t PermitHistory::greatest(std::uint64_t engine, kernel::Instant since) const
+std::uint32_t PermitHistory::maxPermitsSince(std::uint64_t engine, kernel::Instant since) const
 {
     std::uint32_t greatest = 0;
     for (const Beat &beat : beats_) {
--- a/src/routing/PermitHistory.h
+++ b/src/routing/PermitHistory.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "kernel/decisions/Time.h"
-#include "routing/LoadBook.h"
+#include "routing/LoadTable.h"
 
 #include <deque>
 
@@ -27,7 +27,7 @@
     void note(OwnLoads permits, kernel::Instant now);
 
     /** The most permits on \a engine at any moment from \a since on, as far as is kept. */
-    std::uint32_t greatest(std::uint64_t engine, kernel::Instant since) const;
+    std::uint32_t maxPermitsSince(std::uint64_t engine, kernel::Instant since) const;
 
 private:
     struct Beat
--- a/src/routing/PermitLedger.cpp
+++ b/src/routing/PermitLedger.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-GrantResult PermitLedger::ask(const Ask &ask, const Bounds &bounds, Instant now)
+GrantResult PermitLedger::ask(const PermitRequest &ask, const Bounds &bounds, Instant now)
 {
     if (const auto known = permits_.find(ask.request); known != permits_.end()) {
         known->second.until = now + policy_.lease;
@@ -27,7 +27,7 @@
     // A permit is granted before the engine sees the request and returned after it saw the end, so
     // a report above the permits shows work that this owner doesn't know of: of an earlier owner,
     // or of a router that was paused past its leases.
-    if (inFlight() + bounds.unknownLoad >= most) {
+    if (inFlight() + bounds.unaccountedLoad >= most) {
         return GrantResult::Full;
     }
     if (ask.organisation != 0 && overFairShare(ask.organisation, most)) {
@@ -47,7 +47,7 @@
     return true;
 }
 
-void PermitLedger::renew(const Ask &ask, Instant now)
+void PermitLedger::renew(const PermitRequest &ask, Instant now)
 {
     if (const auto known = permits_.find(ask.request); known != permits_.end()) {
         known->second.until = now + policy_.lease;
@@ -87,7 +87,7 @@
                                         .reservedShare = policy_.reservedShare});
 }
 
-void PermitLedger::add(const Ask &ask, Instant now)
+void PermitLedger::add(const PermitRequest &ask, Instant now)
 {
     permits_.emplace(ask.request, Permit{ask, now + policy_.lease});
     ++perOrganisation_[ask.organisation];
--- a/src/routing/PermitLedger.h
+++ b/src/routing/PermitLedger.h
@@ -34,7 +34,7 @@
 };
 
 /** One ask for a permit. */
-struct Ask
+struct PermitRequest
 {
     std::uint64_t request = 0;      ///< Unique for each attempt.
     std::uint64_t router = 0;       ///< Hash of the box that asks.
@@ -47,7 +47,8 @@
     std::uint32_t bound = 1;         ///< From the mean load; see loadBound().
     std::uint32_t settlingBound = 1; ///< The same for c = 1, in force while a new owner settles.
     std::uint32_t slots = 1;         ///< The resource's own hard limit.
-    std::uint32_t unknownLoad = 0; ///< What the engine reported beyond the permits of that moment.
+    std::uint32_t unaccountedLoad =
+            0; ///< What the engine reported beyond the permits of that moment.
 };
 
 /** The ledger of one resource. */
@@ -58,13 +59,13 @@
      * it. */
     PermitLedger(PermitPolicy policy, kernel::Instant owned, bool takeover);
 
-    GrantResult ask(const Ask &ask, const Bounds &bounds, kernel::Instant now);
+    GrantResult ask(const PermitRequest &ask, const Bounds &bounds, kernel::Instant now);
 
     /** Ends the permit of \a request. \return false if there was none. */
     bool giveBack(std::uint64_t request);
 
     /** Keeps a permit alive; an unknown one, granted by an earlier owner, is adopted. */
-    void renew(const Ask &ask, kernel::Instant now);
+    void renew(const PermitRequest &ask, kernel::Instant now);
 
     /** Drops what wasn't renewed in time. \return how many. */
     std::size_t expire(kernel::Instant now);
@@ -79,13 +80,13 @@
 private:
     struct Permit
     {
-        Ask ask;
+        PermitRequest ask;
         kernel::Instant until;
     };
 
     std::uint32_t limit(const Bounds &bounds, kernel::Instant now) const;
     bool overFairShare(std::uint64_t organisation, std::uint32_t limit) const;
-    void add(const Ask &ask, kernel::Instant now);
+    void add(const PermitRequest &ask, kernel::Instant now);
     void remove(std::unordered_map<std::uint64_t, Permit>::iterator place);
 
     PermitPolicy policy_;
--- a/src/services/Answers.cpp
+++ b/src/services/Answers.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-Refusal refusalOf(outcome::ResultCode code, std::string message, kernel::Duration comeBackIn)
+Refusal refusalOf(outcome::ResultCode code, std::string message, kernel::Duration retryDelay)
 {
-    return {{code, outcome::info(code).ran, false}, std::move(message), comeBackIn};
+    return {{code, outcome::info(code).ran, false}, std::move(message), retryDelay};
 }
 
 http::Fields resultFields(const std::string &requestId, const outcome::Verdict &verdict)
@@ -33,8 +33,8 @@
     http::Answer answer(outcome::info(refusal.verdict.code).httpStatus,
                         resultFields(requestId, refusal.verdict), refusalJson(requestId, refusal));
     answer.fields.add("Content-Type", "application/json");
-    if (refusal.comeBackIn > kernel::Duration::zero()) {
-        answer.fields.add("Retry-After", wholeSeconds(refusal.comeBackIn));
+    if (refusal.retryDelay > kernel::Duration::zero()) {
+        answer.fields.add("Retry-After", wholeSeconds(refusal.retryDelay));
     }
     return answer;
 }
@@ -48,8 +48,8 @@
                             {"remedy", info.remedy},
                             {"ran", outcome::text(refusal.verdict.ran)},
                             {"request_id", requestId}};
-    if (refusal.comeBackIn > kernel::Duration::zero()) {
-        error["retry_after_ms"] = refusal.comeBackIn / 1ms;
+    if (refusal.retryDelay > kernel::Duration::zero()) {
+        error["retry_after_ms"] = refusal.retryDelay / 1ms;
     }
     return nlohmann::json{{"error", error}}.dump(-1, ' ', false,
                                                  nlohmann::json::error_handler_t::replace);
--- a/src/services/Answers.h
+++ b/src/services/Answers.h
@@ -17,11 +17,11 @@
 {
     outcome::Verdict verdict;
     std::string message;
-    kernel::Duration comeBackIn{}; ///< Zero: no advice.
+    kernel::Duration retryDelay{}; ///< Zero: no advice.
 };
 
 /** A refusal with the truth that its code's row in the table tells. */
-Refusal refusalOf(outcome::ResultCode code, std::string message, kernel::Duration comeBackIn = {});
+Refusal refusalOf(outcome::ResultCode code, std::string message, kernel::Duration retryDelay = {});
 
 /** The fields that every answer carries. */
 http::Fields resultFields(const std::string &requestId, const outcome::Verdict &verdict);
--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -1,7 +1,7 @@
 #include "services/ChatHandler.h"
 
+#include "outcome/AttemptSummary.h"
 #include "outcome/NextStep.h"
-#include "outcome/Story.h"
 #include "routing/ChatToken.h"
 #include "services/Answers.h"
 #include "services/ChatRequest.h"
@@ -75,7 +75,7 @@
         const auto quota = co_await permits.acquireQuota(need_.organisation);
         if (!quota) {
             co_await refuse(refusalOf(quota.error().code, "the organisation is at its limit",
-                                      quota.error().comeBackIn));
+                                      quota.error().retryDelay));
             co_return;
         }
         handler_.budget_.earn();
@@ -144,7 +144,7 @@
             if (!permit) {
                 const Refusal none =
                         refusalOf(permit.error().code, "no engine can take the request now",
-                                  permit.error().comeBackIn);
+                                  permit.error().retryDelay);
                 co_await giveUp(none);
                 co_return;
             }
@@ -165,11 +165,11 @@
                 co_return;
             }
             const Verdict verdict =
-                    outcome::judge(*outcome.failure, {chat_.repeatable, reply_.begun()});
+                    outcome::classifyFailure(*outcome.failure, {chat_.repeatable, reply_.begun()});
             story_.add(verdict);
             const auto next =
                     outcome::afterFailure(verdict, number, MostAttempts, handler_.budget_);
-            if (!next.again) {
+            if (!next.retry) {
                 Refusal failed{next.verdict, outcome.message, ComeBackAfterFailure};
                 co_await giveUp(std::move(failed));
                 co_return;
@@ -195,7 +195,7 @@
                 co_await runChat(context_, permit_.backend, std::move(order), std::move(caller));
         using peer::Observed;
         Observed observed = Observed::Served;
-        if (outcome.failure == outcome::Point::BeforeConnect) {
+        if (outcome.failure == outcome::FailurePoint::BeforeConnect) {
             observed = Observed::Unreachable;
         } else if (outcome.leaving) {
             observed = Observed::RefusedLeaving;
@@ -325,7 +325,7 @@
 
     asio::awaitable<void> giveUp(Refusal refusal)
     {
-        refusal.verdict = story_.tell(refusal.verdict);
+        refusal.verdict = story_.finalVerdict(refusal.verdict);
         co_await refuse(refusal);
     }
 
@@ -360,7 +360,7 @@
     Need need_;
     bool spill_ = false;
     Permit permit_;
-    outcome::Story story_;
+    outcome::AttemptSummary story_;
     std::string text_;      ///< Of an answer that isn't streamed.
     std::string pending_;   ///< Chunks that were not yet sent.
     std::string chunkHead_; ///< What all chunks of the answer begin with.
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -13,7 +13,7 @@
 using answer::Frame;
 using answer::FrameResult;
 using nlohmann::json;
-using outcome::Point;
+using outcome::FailurePoint;
 
 namespace {
 
@@ -64,7 +64,7 @@
     {
         const auto endpoint = kernel::endpointFrom(engine_.address);
         if (!endpoint) {
-            fail(Point::BeforeConnect, endpoint.error());
+            fail(FailurePoint::BeforeConnect, endpoint.error());
             co_return outcome_;
         }
         endpoint_ = *endpoint;
@@ -110,7 +110,7 @@
                                                   timeouts());
         if (!stream || stream->status() != 200) {
             // An engine that doesn't know the request any more has lost it for good.
-            lost_ = stream.has_value() || stream.error().point == Point::BeforeConnect;
+            lost_ = stream.has_value() || stream.error().point == FailurePoint::BeforeConnect;
             co_return;
         }
         co_await readAll(*stream);
@@ -124,13 +124,14 @@
         while (!check_.whole() && !outcome_.callerLeft && !outcome_.failure) {
             const auto part = co_await stream.read();
             if (!part || part->empty()) {
-                fail(Point::AnswerBegun, part ? "the engine's stream ended without its end marker"
-                                              : part.error().message);
+                fail(FailurePoint::AnswerBegun,
+                     part ? "the engine's stream ended without its end marker"
+                          : part.error().message);
                 co_return;
             }
             std::vector<std::string> events;
             if (!splitter.take(*part, events)) {
-                fail(Point::AnswerBegun, "the engine sent an event that is too long");
+                fail(FailurePoint::AnswerBegun, "the engine sent an event that is too long");
                 lost_ = true;
                 co_return;
             }
@@ -146,7 +147,7 @@
     {
         auto wire = frameFrom(event);
         if (!wire) {
-            fail(Point::AnswerBegun, "the engine sent a frame that can't be read");
+            fail(FailurePoint::AnswerBegun, "the engine sent a frame that can't be read");
             return;
         }
         outcome_.cachedTokens = std::max(outcome_.cachedTokens, wire->cachedTokens);
@@ -161,7 +162,7 @@
             break;
         case FrameResult::Overflow:
         case FrameResult::Contradiction:
-            fail(Point::AnswerBegun, "the engine's frames contradict each other");
+            fail(FailurePoint::AnswerBegun, "the engine's frames contradict each other");
             lost_ = true;
             break;
         case FrameResult::Taken:
@@ -182,7 +183,8 @@
         const std::string why = stream.field("X-Not-Started");
         outcome_.leaving = why == "leaving";
         outcome_.rest = restAsked(stream.status(), stream.fields());
-        const Point point = why.empty() ? Point::AnsweredFailure : Point::RefusedUnstarted;
+        const FailurePoint point =
+                why.empty() ? FailurePoint::AnsweredFailure : FailurePoint::RefusedUnstarted;
         fail(point, "the engine answered " + std::to_string(stream.status())
                             + (why.empty() ? "" : ", not started: " + why));
     }
@@ -197,7 +199,7 @@
 
     bool mayResume() const
     {
-        const bool broken = outcome_.failure == Point::AnswerBegun;
+        const bool broken = outcome_.failure == FailurePoint::AnswerBegun;
         return broken && begun_ && !lost_ && !outcome_.callerLeft;
     }
 
@@ -209,7 +211,7 @@
                                : context_.settings.firstTokenTimeout};
     }
 
-    void fail(Point point, std::string message)
+    void fail(FailurePoint point, std::string message)
     {
         outcome_.failure = point;
         outcome_.message = std::move(message);
--- a/src/services/ChatRun.h
+++ b/src/services/ChatRun.h
@@ -33,9 +33,9 @@
 /** What the attempt came to. */
 struct ChatOutcome
 {
-    std::optional<outcome::Point> failure; ///< Nothing: the answer is whole.
-    bool leaving = false;                  ///< The engine refused because it is leaving.
-    http::RetryAfter rest;                 ///< What it said of rest as it refused.
+    std::optional<outcome::FailurePoint> failure; ///< Nothing: the answer is whole.
+    bool leaving = false;                         ///< The engine refused because it is leaving.
+    http::RetryAfter rest;                        ///< What it said of rest as it refused.
     bool callerLeft = false;
     std::string message;
     std::size_t frames = 0;
--- a/src/services/CrashGuard.cpp
+++ b/src/services/CrashGuard.cpp
@@ -13,15 +13,15 @@
 
 } // namespace
 
-AttemptSight sightOf(outcome::Point point)
+AttemptSight sightOf(outcome::FailurePoint point)
 {
-    using outcome::Point;
+    using outcome::FailurePoint;
     switch (point) {
-    case Point::PartSent:
-    case Point::AllSent:
-    case Point::AnswerBegun:
+    case FailurePoint::PartSent:
+    case FailurePoint::AllSent:
+    case FailurePoint::AnswerBegun:
         return AttemptSight::Lost;
-    case Point::AnsweredFailure:
+    case FailurePoint::AnsweredFailure:
         return AttemptSight::Whole;
     default:
         return AttemptSight::Nothing;
--- a/src/services/CrashGuard.h
+++ b/src/services/CrashGuard.h
@@ -29,7 +29,7 @@
 };
 
 /** What an attempt that failed at \a point says. */
-AttemptSight sightOf(outcome::Point point);
+AttemptSight sightOf(outcome::FailurePoint point);
 
 /** The guard of one request. Hands back on its end what it still holds. */
 class CrashGuard
--- a/src/services/MembershipService.cpp
+++ b/src/services/MembershipService.cpp
@@ -231,7 +231,7 @@
 {
     const auto missing = table_.introductionFor(heartbeat.states, heartbeat.ages, context_.now(),
                                                 context_.random);
-    for (auto &states : table_.inMessages(missing)) {
+    for (auto &states : table_.splitIntoMessages(missing)) {
         context_.counters.add("introductions");
         context_.kernel.find<PeerService>("peer").send(from,
                                                        peer::Heartbeat{std::move(states), {}});
--- a/src/services/OwnedBackends.cpp
+++ b/src/services/OwnedBackends.cpp
@@ -103,7 +103,7 @@
                        .probing = false,
                        .models = {},
                        .loading = {},
-                       .unknownLoad = 0,
+                       .unaccountedLoad = 0,
                        .skips = 0,
                        .served = false};
     // Until the first probe, what the owner before said is the best there is.
@@ -111,9 +111,9 @@
         owned.models = before->state.models;
     }
     if (takeover && before->state.usable) {
-        owned.health.noteGood(before->state.incarnation, context_.now());
+        owned.health.noteProbeSuccess(before->state.incarnation, context_.now());
         owned.leaving = before->state.leaving;
-        owned.unknownLoad = before->state.inFlight;
+        owned.unaccountedLoad = before->state.inFlight;
     }
     owned.ledger.setLeaving(owned.leaving || listed.leaving);
     backends_.emplace(listed.backend.hash(), std::move(owned));
@@ -147,7 +147,7 @@
     routing::OwnLoads loads;
     routing::OwnLoads permits;
     for (const auto &[hash, owned] : backends_) {
-        loads[hash] = owned.ledger.inFlight() + owned.unknownLoad;
+        loads[hash] = owned.ledger.inFlight() + owned.unaccountedLoad;
         permits[hash] = owned.ledger.inFlight();
     }
     permitsThen_.note(std::move(permits), now);
@@ -166,7 +166,7 @@
 membership::BackendState OwnedBackends::stateOf(const OwnedBackend &owned) const
 {
     return {.backend = shortHash(owned.listed.backend.hash()),
-            .inFlight = owned.ledger.inFlight() + owned.unknownLoad,
+            .inFlight = owned.ledger.inFlight() + owned.unaccountedLoad,
             .incarnation = owned.health.incarnation(),
             .leaving = owned.ledger.leaving(),
             .usable = owned.health.usable(),
@@ -179,7 +179,7 @@
     std::uint32_t load = 0;
     for (const auto &[hash, owned] : backends_) {
         const bool holds = std::ranges::find(owned.models, model) != owned.models.end();
-        load += holds ? owned.ledger.inFlight() + owned.unknownLoad : 0;
+        load += holds ? owned.ledger.inFlight() + owned.unaccountedLoad : 0;
     }
     return load;
 }
@@ -195,7 +195,7 @@
         // One that has just served a request is there; it refuses by itself once it leaves.
         // Load that this owner doesn't know of, though, is only seen by probes.
         const bool skip = std::exchange(owned.served, false) && owned.health.usable()
-                          && owned.unknownLoad == 0 && owned.skips < MostSkips;
+                          && owned.unaccountedLoad == 0 && owned.skips < MostSkips;
         owned.skips = skip ? owned.skips + 1 : 0;
         if (!skip) {
             probeNow(hash);
@@ -234,7 +234,7 @@
     if (answer && answer->status == 200) {
         takeProbe(*owned, answer->body, asked);
     } else {
-        owned->health.noteBad(context_.now());
+        owned->health.noteUnreachable(context_.now());
     }
     if (before != owned->health.usable()) {
         log().info("Backend server " + owned->listed.backend.text()
@@ -247,10 +247,10 @@
 {
     const auto status = nlohmann::json::parse(body, nullptr, false);
     if (!status.is_object()) {
-        owned.health.noteBad(context_.now());
+        owned.health.noteUnreachable(context_.now());
         return;
     }
-    owned.health.noteGood(status.value("incarnation", 1U), context_.now());
+    owned.health.noteProbeSuccess(status.value("incarnation", 1U), context_.now());
     // Its own word is newer than the platform's list.
     owned.leaving = status.value("leaving", false);
     owned.ledger.setLeaving(owned.leaving || owned.listed.leaving);
@@ -259,8 +259,8 @@
     const std::uint64_t engine = owned.listed.backend.hash();
     const std::uint32_t explained =
             std::max(owned.ledger.inFlight(),
-                     permitsThen_.greatest(engine, asked - context_.settings.loadLag));
-    owned.unknownLoad = running > explained ? running - explained : 0;
+                     permitsThen_.maxPermitsSince(engine, asked - context_.settings.loadLag));
+    owned.unaccountedLoad = running > explained ? running - explained : 0;
     owned.models = modelsIn(status, "models");
     owned.loading = modelsIn(status, "loading");
 }
--- a/src/services/OwnedBackends.h
+++ b/src/services/OwnedBackends.h
@@ -10,7 +10,7 @@
 
 #include "membership/BackendHealth.h"
 #include "membership/BoxState.h"
-#include "routing/LoadBook.h"
+#include "routing/LoadTable.h"
 #include "routing/PermitHistory.h"
 #include "routing/PermitLedger.h"
 #include "services/Context.h"
@@ -34,7 +34,7 @@
     bool probing = false;
     std::vector<membership::ShortHash> models;
     std::vector<membership::ShortHash> loading;
-    std::uint32_t unknownLoad = 0;
+    std::uint32_t unaccountedLoad = 0;
     int skips = 0;       ///< Probe rounds passed over since the last probe.
     bool served = false; ///< A request was served since the last round.
 };
--- a/src/services/OwnerService.cpp
+++ b/src/services/OwnerService.cpp
@@ -50,7 +50,7 @@
     return Names.at(static_cast<std::size_t>(result));
 }
 
-routing::Ask ledgerAsk(const AskPermit &ask)
+routing::PermitRequest ledgerAsk(const AskPermit &ask)
 {
     return {.request = ask.request, .router = ask.router, .organisation = ask.organisation};
 }
@@ -126,7 +126,7 @@
     }
     owned->served = owned->served || giveBack.observed == peer::Observed::Served;
     if (giveBack.observed == peer::Observed::Unreachable) {
-        owned->health.noteBad(context_.now());
+        owned->health.noteUnreachable(context_.now());
         backends_.probeNow(giveBack.resource);
     }
     if (giveBack.observed == peer::Observed::RefusedLeaving) {
@@ -138,7 +138,7 @@
 void OwnerService::take(const peer::Renew &renew)
 {
     for (const peer::HeldPermit &permit : renew.permits) {
-        const routing::Ask ask{permit.request, renew.router, permit.organisation};
+        const routing::PermitRequest ask{permit.request, renew.router, permit.organisation};
         if (OwnedBackend *const owned = backends_.find(permit.resource); owned != nullptr) {
             owned->ledger.renew(ask, awake());
         } else if (organisation(permit.resource) != nullptr) {
@@ -207,7 +207,7 @@
         context_.counters.add("permits_expired", {}, expired);
     }
     loads_.forget(context_.settings.permitLease, context_.now());
-    loads_.noteBeat(backends_.noteBeat(context_.now()), reportAge());
+    loads_.noteHeartbeat(backends_.noteBeat(context_.now()), reportAge());
     context_.counters.set("backends_owned", static_cast<double>(backends_.size()));
 }
 
@@ -221,7 +221,7 @@
 bool OwnerService::inLine(std::uint64_t resource) const
 {
     const auto &membership = context_.kernel.find<MembershipService>("membership");
-    const auto line = membership::ownersInLine(resource, membership.owners(), LineLength);
+    const auto line = membership::rankedOwners(resource, membership.owners(), LineLength);
     return std::ranges::find(line, membership.self()) != line.end();
 }
 
@@ -249,7 +249,7 @@
 
 void OwnerService::noteLoad(std::uint64_t box, ShortHash model, std::uint32_t load)
 {
-    loads_.noteSpoken(box, model, load, backends_.load(model), context_.now());
+    loads_.noteReport(box, model, load, backends_.load(model), context_.now());
 }
 
 // How many periods old a heartbeat's word is: it takes about log2(boxes) periods to everyone.
@@ -273,7 +273,7 @@
                                  .settlingBound =
                                          routing::loadBound(1, pool.inFlight, pool.engines),
                                  .slots = settings == nullptr ? 1 : settings->slots,
-                                 .unknownLoad = owned.unknownLoad};
+                                 .unaccountedLoad = owned.unaccountedLoad};
     const GrantResult result = owned.ledger.ask(ledgerAsk(ask), bounds, awake());
     if (result == GrantResult::Full || result == GrantResult::Unfair) {
         drain_.noteRefusal(context_.now());
@@ -373,7 +373,7 @@
     const auto quota = quotas_.ask(ask.resource, limits, {ask.request, ask.router, 0}, awake(),
                                    context_.random);
     answer.result = resultOf(quota.result);
-    answer.comeBackMs = static_cast<std::uint32_t>(quota.comeBackIn / 1ms);
+    answer.comeBackMs = static_cast<std::uint32_t>(quota.retryDelay / 1ms);
     return answer;
 }
 
@@ -385,7 +385,7 @@
 
 std::uint32_t OwnerService::comeBackMs(admission::DrainRate &drain)
 {
-    return static_cast<std::uint32_t>(drain.comeBackIn(context_.now(), context_.random) / 1ms);
+    return static_cast<std::uint32_t>(drain.retryDelay(context_.now(), context_.random) / 1ms);
 }
 
 } // namespace limereel::services
--- a/src/services/OwnerService.h
+++ b/src/services/OwnerService.h
@@ -7,13 +7,13 @@
 #pragma once
 
 #include "admission/DrainRate.h"
-#include "admission/QuotaBook.h"
+#include "admission/QuotaTable.h"
 #include "config/Effective.h"
 #include "kernel/decisions/AwakeTime.h"
 #include "membership/BoxState.h"
 #include "peer/Messages.h"
 #include "routing/ChatIndex.h"
-#include "routing/LoadBook.h"
+#include "routing/LoadTable.h"
 #include "routing/PermitLedger.h"
 #include "routing/Placement.h"
 #include "services/Context.h"
@@ -77,10 +77,10 @@
     routing::PermitPolicy policy_;
     kernel::AwakeTime awake_; ///< Leases of permits go by it.
     OwnedBackends backends_;
-    admission::QuotaBook quotas_;
+    admission::QuotaTable quotas_;
     routing::ChatIndex chats_;
     admission::DrainRate drain_;
-    routing::LoadBook loads_;
+    routing::LoadTable loads_;
     HallView view_;
     bool viewStale_ = true;
 };
--- a/src/services/PermitService.cpp
+++ b/src/services/PermitService.cpp
@@ -41,7 +41,7 @@
         refusal.code = ResultCode::EnginesFull;
     }
     if (answer.comeBackMs > 0) {
-        refusal.comeBackIn = std::chrono::milliseconds(answer.comeBackMs);
+        refusal.retryDelay = std::chrono::milliseconds(answer.comeBackMs);
     }
 }
 
@@ -296,7 +296,7 @@
 {
     const auto owners = context_.kernel.find<MembershipService>("membership").owners();
     std::optional<Answered> last;
-    for (const std::uint64_t box : membership::ownersInLine(ask.resource, owners, LineLength)) {
+    for (const std::uint64_t box : membership::rankedOwners(ask.resource, owners, LineLength)) {
         if (const auto answer = co_await askBox(box, ask)) {
             last = Answered{*answer, box};
         }
--- a/src/services/PermitService.h
+++ b/src/services/PermitService.h
@@ -54,7 +54,7 @@
 struct NoPermit
 {
     outcome::ResultCode code = outcome::ResultCode::NoEngine;
-    kernel::Duration comeBackIn{};
+    kernel::Duration retryDelay{};
 };
 
 /** Permits. */
--- a/src/services/PlacementService.cpp
+++ b/src/services/PlacementService.cpp
@@ -187,7 +187,7 @@
         }
         placement::EngineView engine{.name = backend.listed.backend.text(),
                                      .usable = backend.open(),
-                                     .room = backend.listed.room,
+                                     .modelCapacity = backend.listed.modelCapacity,
                                      .models = {},
                                      .inFlight = backend.state.inFlight};
         // A model of no pool still takes room.
--- a/src/services/PlatformService.cpp
+++ b/src/services/PlatformService.cpp
@@ -55,8 +55,8 @@
 
 StoreResult resultOf(const http::CallFailure &failure)
 {
-    const bool surelyWithout = failure.point == outcome::Point::BeforeConnect
-                               || failure.point == outcome::Point::ConnectedUnsent;
+    const bool surelyWithout = failure.point == outcome::FailurePoint::BeforeConnect
+                               || failure.point == outcome::FailurePoint::ConnectedUnsent;
     return {.answer = surelyWithout ? StoreAnswer::Unavailable : StoreAnswer::Lost};
 }
 
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -1,8 +1,8 @@
 #include "services/ServiceHandler.h"
 
 #include "http/Client.h"
+#include "outcome/AttemptSummary.h"
 #include "outcome/NextStep.h"
-#include "outcome/Story.h"
 #include "services/Answers.h"
 #include "services/ClaimService.h"
 #include "services/ConfigService.h"
@@ -17,7 +17,7 @@
 namespace limereel::services {
 
 namespace asio = boost::asio;
-using outcome::Point;
+using outcome::FailurePoint;
 using outcome::ResultCode;
 using outcome::Verdict;
 
@@ -80,7 +80,7 @@
         const auto quota = co_await permits.acquireQuota(kernel::hashOf(organisation_.path));
         if (!quota) {
             co_await refuse(refusalOf(quota.error().code, "the organisation is at its limit",
-                                      quota.error().comeBackIn));
+                                      quota.error().retryDelay));
             co_return;
         }
         handler_.budget_.earn();
@@ -171,13 +171,13 @@
                 co_await pass(std::move(*answer));
                 co_return std::nullopt;
             }
-            const Verdict verdict = outcome::judge(*failure, {repeatable_, false});
+            const Verdict verdict = outcome::classifyFailure(*failure, {repeatable_, false});
             story_.add(verdict);
             const std::string message =
                     answer ? "the service did not take the request" : answer.error().message;
             const auto next =
                     outcome::afterFailure(verdict, number, MostAttempts, handler_.budget_);
-            if (!next.again) {
+            if (!next.retry) {
                 co_return tell({next.verdict, message, ComeBackAfterFailure});
             }
             context_.counters.add("retries", {{"reason", outcome::text(*failure)}});
@@ -234,7 +234,7 @@
         const auto endpoint = kernel::endpointFrom(runner.address);
         if (!endpoint) {
             co_return tl::unexpected(
-                    http::CallFailure{Point::BeforeConnect, false, endpoint.error()});
+                    http::CallFailure{FailurePoint::BeforeConnect, false, endpoint.error()});
         }
         http::Request request{
                 request_.method, target_.rest,
@@ -249,21 +249,23 @@
         co_return co_await http::call(context_.io, *endpoint, std::move(request), timeouts);
     }
 
-    std::optional<Point>
+    std::optional<FailurePoint>
     judgeAnswer(const tl::expected<http::Answer, http::CallFailure> &answer) const
     {
         if (!answer) {
             return answer.error().point;
         }
         if (!answer->fields.get("X-Not-Started").empty()) {
-            return Point::RefusedUnstarted;
+            return FailurePoint::RefusedUnstarted;
         }
-        return answer->fields.get("X-Request-Id") == id_ ? std::nullopt
-                                                         : std::optional(Point::AnswerForeign);
+        return answer->fields.get("X-Request-Id") == id_
+                       ? std::nullopt
+                       : std::optional(FailurePoint::AnswerForeign);
     }
 
     // A runner has no life of its own in the list: one that ends twice counts once.
-    asio::awaitable<void> noteEnd(const store::ListedBackend &runner, std::optional<Point> failure)
+    asio::awaitable<void> noteEnd(const store::ListedBackend &runner,
+                                  std::optional<FailurePoint> failure)
     {
         AttemptServer server;
         server.id = runner.backend.text();
@@ -288,7 +290,7 @@
 
     Refusal tell(Refusal refusal) const
     {
-        refusal.verdict = story_.tell(refusal.verdict);
+        refusal.verdict = story_.finalVerdict(refusal.verdict);
         return refusal;
     }
 
@@ -316,7 +318,7 @@
     bool repeatable_ = false;
     std::set<std::uint64_t> excluded_;
     bool someRest_ = false; ///< Of the runners, at the last choice.
-    outcome::Story story_;
+    outcome::AttemptSummary story_;
 };
 
 asio::awaitable<void> ServiceHandler::handle(http::Request request, http::Reply &reply,
--- a/src/services/SpillService.cpp
+++ b/src/services/SpillService.cpp
@@ -112,7 +112,7 @@
             continue;
         }
         refusal = {answer->result == PermitResult::Full ? ResultCode::EnginesFull : refusal.code,
-                   std::max(refusal.comeBackIn,
+                   std::max(refusal.retryDelay,
                             kernel::Duration(std::chrono::milliseconds(answer->comeBackMs)))};
         if (answer->result != PermitResult::Granted || answer->suggestions.empty()) {
             break;
@@ -170,7 +170,7 @@
                                .result = full ? PermitResult::Full : PermitResult::Leaving,
                                .suggestions = {},
                                .comeBackMs =
-                                       static_cast<std::uint32_t>(permit.error().comeBackIn / 1ms)};
+                                       static_cast<std::uint32_t>(permit.error().retryDelay / 1ms)};
     context_.kernel.find<PeerService>("peer").send(from, refusal);
 }
 
--- a/src/store/Directory.cpp
+++ b/src/store/Directory.cpp
@@ -22,7 +22,7 @@
     return {.backend = kernel::BackendId(object.at("name").get<std::string>()),
             .address = object.at("address").get<std::string>(),
             .service = object.value("service", std::string()),
-            .room = object.value("room", std::size_t{1}),
+            .modelCapacity = object.value("room", std::size_t{1}),
             .checksTokens = object.value("checks-tokens", false),
             .leaving = object.value("leaving", false)};
 }
--- a/src/store/Directory.h
+++ b/src/store/Directory.h
@@ -33,9 +33,9 @@
 {
     kernel::BackendId backend;
     AddressText address;
-    std::string service;       ///< Name of the plain service; empty for a model engine.
-    std::size_t room = 1;      ///< Of an engine: models that fit at once.
-    bool checksTokens = false; ///< Of an engine: whether it refuses orders with an old token.
+    std::string service;           ///< Name of the plain service; empty for a model engine.
+    std::size_t modelCapacity = 1; ///< Of an engine: models that fit at once.
+    bool checksTokens = false;     ///< Of an engine: whether it refuses orders with an old token.
     bool leaving = false;
 
     bool isEngine() const { return service.empty(); }
--- a/test/correctness/AdmissionTest.cpp
+++ b/test/correctness/AdmissionTest.cpp
@@ -1,14 +1,14 @@
 // Limits of organisations, rates, and when a refused caller should come back.
 
-#include "admission/QuotaBook.h"
+#include "admission/QuotaTable.h"
 
 #include <boost/test/unit_test.hpp>
 #include <random>
 
 using namespace limereel;
 using admission::DrainRate;
-using admission::QuotaBook;
 using admission::QuotaLimits;
+using admission::QuotaTable;
 using admission::TokenBucket;
 using kernel::Instant;
 using routing::GrantResult;
@@ -27,7 +27,7 @@
         return quotas.ask(organisation, limits, {++request, 1, 0}, now, random).result;
     }
 
-    QuotaBook quotas{{.lease = 10s, .settle = 5s, .reservedShare = 0.25}};
+    QuotaTable quotas{{.lease = 10s, .settle = 5s, .reservedShare = 0.25}};
     std::mt19937_64 random{1};
     std::uint64_t request = 0;
 };
@@ -38,7 +38,7 @@
 
 BOOST_FIXTURE_TEST_CASE(quota_atOnce_isPerOrganisationAndFreedByReturnOrLapse, QuotaFixture)
 {
-    const QuotaLimits two{.atOnce = 2, .perMinute = 0};
+    const QuotaLimits two{.maxConcurrent = 2, .perMinute = 0};
     BOOST_TEST((ask(1, two, at(0ms)) == GrantResult::Granted));
     BOOST_TEST((ask(1, two, at(0ms)) == GrantResult::Granted));
     BOOST_TEST((ask(1, two, at(0ms)) == GrantResult::Full));
@@ -52,7 +52,7 @@
 
 BOOST_FIXTURE_TEST_CASE(quota_perMinute_holdsOverAnyMinute, QuotaFixture)
 {
-    const QuotaLimits limits{.atOnce = 100000, .perMinute = 60};
+    const QuotaLimits limits{.maxConcurrent = 100000, .perMinute = 60};
     int granted = 0;
     for (int tenth = 0; tenth < 600; ++tenth) {
         granted +=
@@ -68,9 +68,9 @@
 BOOST_FIXTURE_TEST_CASE(quota_renewedAtANewOwner_isCountedThere, QuotaFixture)
 {
     quotas.renew(1, {77, 1, 0}, at(0ms));
-    BOOST_TEST((ask(1, {.atOnce = 1, .perMinute = 0}, at(0ms)) == GrantResult::Full));
+    BOOST_TEST((ask(1, {.maxConcurrent = 1, .perMinute = 0}, at(0ms)) == GrantResult::Full));
     BOOST_TEST(quotas.giveBack(1, 77, at(1s)));
-    BOOST_TEST((ask(1, {.atOnce = 1, .perMinute = 0}, at(1s)) == GrantResult::Granted));
+    BOOST_TEST((ask(1, {.maxConcurrent = 1, .perMinute = 0}, at(1s)) == GrantResult::Granted));
 }
 
 BOOST_AUTO_TEST_CASE(tokenBucket_afterItsWait_givesOne)
@@ -92,17 +92,17 @@
             drain.noteEnd(at(std::chrono::seconds(second)));
         }
     }
-    const auto calm = drain.comeBackIn(at(30s), random);
+    const auto calm = drain.retryDelay(at(30s), random);
     BOOST_TEST((calm >= kernel::Duration(1s) && calm <= kernel::Duration(1500ms)));
     for (int refusal = 0; refusal < 100; ++refusal) {
         drain.noteRefusal(at(30s));
     }
-    const auto busy = drain.comeBackIn(at(30s), random);
+    const auto busy = drain.retryDelay(at(30s), random);
     BOOST_TEST((busy >= kernel::Duration(10s) && busy <= kernel::Duration(16s)));
     for (int refusal = 0; refusal < 100000; ++refusal) {
         drain.noteRefusal(at(30s));
     }
-    BOOST_TEST((drain.comeBackIn(at(30s), random) <= kernel::Duration(90s)));
+    BOOST_TEST((drain.retryDelay(at(30s), random) <= kernel::Duration(90s)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/ClientPointTest.cpp
+++ b/test/correctness/ClientPointTest.cpp
@@ -11,7 +11,7 @@
 using namespace limereel;
 namespace asio = boost::asio;
 using asio::ip::tcp;
-using outcome::Point;
+using outcome::FailurePoint;
 
 namespace {
 
@@ -66,9 +66,9 @@
     std::optional<Result> result_;
 };
 
-bool nothingWasSent(Point point)
+bool nothingWasSent(FailurePoint point)
 {
-    return point == Point::BeforeConnect || point == Point::ConnectedUnsent;
+    return point == FailurePoint::BeforeConnect || point == FailurePoint::ConnectedUnsent;
 }
 
 } // namespace
@@ -97,7 +97,7 @@
     send();
     closeListener();
     const http::CallFailure failed = failure();
-    BOOST_TEST((failed.point == Point::AllSent));
+    BOOST_TEST((failed.point == FailurePoint::AllSent));
     BOOST_TEST(!failed.timedOut);
 }
 
--- a/test/correctness/ClientWaitTest.cpp
+++ b/test/correctness/ClientWaitTest.cpp
@@ -361,7 +361,7 @@
             resultOfSilentServer("", timeoutsWith(&http::CallTimeouts::head, FirstLimit));
     BOOST_REQUIRE(!result);
     BOOST_TEST(result.error().timedOut);
-    BOOST_TEST((result.error().point == outcome::Point::AllSent));
+    BOOST_TEST((result.error().point == outcome::FailurePoint::AllSent));
 }
 
 BOOST_AUTO_TEST_CASE(call_serverSendsHalfAHead_timesOutAtItsHead)
@@ -370,7 +370,7 @@
                                                timeoutsWith(&http::CallTimeouts::head, FirstLimit));
     BOOST_REQUIRE(!result);
     BOOST_TEST(result.error().timedOut);
-    BOOST_TEST((result.error().point == outcome::Point::AllSent));
+    BOOST_TEST((result.error().point == outcome::FailurePoint::AllSent));
 }
 
 BOOST_AUTO_TEST_CASE(call_serverStopsWithinBody_timesOutAtItsPart)
@@ -379,7 +379,7 @@
             resultOfSilentServer(Head + "do", timeoutsWith(&http::CallTimeouts::part, FirstLimit));
     BOOST_REQUIRE(!result);
     BOOST_TEST(result.error().timedOut);
-    BOOST_TEST((result.error().point == outcome::Point::AnswerBegun));
+    BOOST_TEST((result.error().point == outcome::FailurePoint::AnswerBegun));
 }
 
 BOOST_AUTO_TEST_CASE(call_serverDoesNotReadTheRequest_timesOutWithPartSent)
@@ -401,7 +401,7 @@
     BOOST_REQUIRE(result.has_value());
     BOOST_REQUIRE(!*result);
     BOOST_TEST(result->error().timedOut);
-    BOOST_TEST((result->error().point == outcome::Point::PartSent));
+    BOOST_TEST((result->error().point == outcome::FailurePoint::PartSent));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/EngineChoiceTest.cpp
+++ b/test/correctness/EngineChoiceTest.cpp
@@ -292,7 +292,7 @@
     const auto permit = acquireAfterUnheardFailure(0, needOf(0), allBut({}));
     BOOST_REQUIRE(!permit.has_value());
     BOOST_TEST((permit.error().code == outcome::ResultCode::NoEngine));
-    BOOST_TEST((permit.error().comeBackIn > 0ms));
+    BOOST_TEST((permit.error().retryDelay > 0ms));
 }
 
 BOOST_AUTO_TEST_CASE(ownersKnowThatAllEnginesAreDown_callerIsToldSoAndWhenToComeBack)
@@ -341,7 +341,7 @@
                 acquire(static_cast<std::size_t>(chat) % fleet.routerCount(), needOf(chat));
         BOOST_REQUIRE(!permit.has_value());
         BOOST_TEST((permit.error().code == outcome::ResultCode::EnginesFull));
-        BOOST_TEST((permit.error().comeBackIn > 0ms));
+        BOOST_TEST((permit.error().retryDelay > 0ms));
     }
 }
 
--- a/test/correctness/FrameCheckTest.cpp
+++ b/test/correctness/FrameCheckTest.cpp
@@ -97,7 +97,7 @@
         BOOST_TEST(splitter.take(wire.substr(0, cut), events));
         BOOST_TEST(splitter.take(wire.substr(cut), events));
         BOOST_TEST(events == expected);
-        BOOST_TEST(!splitter.inEvent());
+        BOOST_TEST(!splitter.hasPartialEvent());
     }
 }
 
--- a/test/correctness/MembershipTest.cpp
+++ b/test/correctness/MembershipTest.cpp
@@ -157,7 +157,7 @@
         HeartbeatTable &receiver = tables_.at(to);
         receiver.receive(states, ages, now_);
         const auto missing = receiver.introductionFor(states, ages, now_, random_);
-        for (const auto &message : receiver.inMessages(missing)) {
+        for (const auto &message : receiver.splitIntoMessages(missing)) {
             ++introductions_;
             tables_.at(from).receive(message, {}, now_);
         }
@@ -289,11 +289,11 @@
     for (std::uint64_t box = 0; box < introduction.size(); ++box) {
         introduction[box].box = box + 1;
     }
-    const auto messages = table.inMessages(introduction);
+    const auto messages = table.splitIntoMessages(introduction);
     BOOST_TEST(messages.size() == 5U);
     std::set<std::uint64_t> told;
     for (const auto &states : messages) {
-        BOOST_TEST(states.size() <= Policy.introducedAtOnce + 1);
+        BOOST_TEST(states.size() <= Policy.statesPerIntroduction + 1);
         BOOST_TEST(states.size() > 1U);
         BOOST_TEST(states.front().box == 1U);
         for (const BoxState &state : states) {
@@ -301,7 +301,7 @@
         }
     }
     BOOST_TEST(told.size() == introduction.size());
-    BOOST_TEST(table.inMessages({}).empty());
+    BOOST_TEST(table.splitIntoMessages({}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(introductions_allKnowAll_noneIsSent)
@@ -561,21 +561,21 @@
     const Instant now{kernel::Duration(3600s)};
     BackendHealth health;
     BOOST_TEST(!health.usable());
-    health.noteGood(1, now);
+    health.noteProbeSuccess(1, now);
     BOOST_TEST(health.usable());
-    health.noteBad(now);
+    health.noteUnreachable(now);
     BOOST_TEST(health.usable());
-    health.noteBad(now);
+    health.noteUnreachable(now);
     BOOST_TEST(!health.usable());
-    health.noteGood(2, now);
+    health.noteProbeSuccess(2, now);
     BOOST_TEST(health.usable());
     // A second fall is a flap: two good probes in a row are asked for, then four.
     for (const int needed : {2, 4, 8}) {
-        health.noteBad(now);
-        health.noteBad(now);
+        health.noteUnreachable(now);
+        health.noteUnreachable(now);
         for (int good = 1; good <= needed; ++good) {
             BOOST_TEST(!health.usable());
-            health.noteGood(2, now);
+            health.noteProbeSuccess(2, now);
         }
         BOOST_TEST(health.usable());
     }
--- a/test/correctness/OutcomeTest.cpp
+++ b/test/correctness/OutcomeTest.cpp
@@ -2,10 +2,10 @@
 // twice.
 
 #include "outcome/Attempt.h"
+#include "outcome/AttemptSummary.h"
 #include "outcome/Claim.h"
 #include "outcome/NextStep.h"
 #include "outcome/RetryBudget.h"
-#include "outcome/Story.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -18,15 +18,16 @@
 
 namespace {
 
-constexpr Point AllPoints[] = {Point::BeforeConnect,   Point::ConnectedUnsent,  Point::PartSent,
-                               Point::AllSent,         Point::RefusedUnstarted, Point::AnswerBegun,
-                               Point::AnsweredFailure, Point::AnswerForeign};
+constexpr FailurePoint AllPoints[] = {FailurePoint::BeforeConnect,    FailurePoint::ConnectedUnsent,
+                                      FailurePoint::PartSent,         FailurePoint::AllSent,
+                                      FailurePoint::RefusedUnstarted, FailurePoint::AnswerBegun,
+                                      FailurePoint::AnsweredFailure,  FailurePoint::AnswerForeign};
 
 /** Whether a backend server may have begun a request that failed at \a point. */
-bool mayHaveRun(Point point)
+bool mayHaveRun(FailurePoint point)
 {
-    return point != Point::BeforeConnect && point != Point::ConnectedUnsent
-           && point != Point::RefusedUnstarted;
+    return point != FailurePoint::BeforeConnect && point != FailurePoint::ConnectedUnsent
+           && point != FailurePoint::RefusedUnstarted;
 }
 
 /** A platform with one object, whose answers and writes may be lost. */
@@ -79,10 +80,10 @@
 
 BOOST_AUTO_TEST_CASE(judge_everyPoint_saysNotRunOnlyWhereNothingCanHaveRun)
 {
-    for (const Point point : AllPoints) {
+    for (const FailurePoint point : AllPoints) {
         for (const bool repeatable : {false, true}) {
             for (const bool callerHasBytes : {false, true}) {
-                const Verdict verdict = judge(point, {repeatable, callerHasBytes});
+                const Verdict verdict = classifyFailure(point, {repeatable, callerHasBytes});
                 BOOST_TEST((verdict.ran == Ran::NotRun) == !mayHaveRun(point));
                 BOOST_TEST((info(verdict.code).ran == verdict.ran));
                 if (verdict.mayRetry) {
@@ -107,22 +108,22 @@
 
 BOOST_AUTO_TEST_CASE(story_earlierAttemptMayHaveRun_lastRefusalDoesNotHideIt)
 {
-    Story story;
-    story.add(judge(Point::AllSent, {true, false}));
-    const Verdict told = story.tell({ResultCode::NoEngine, Ran::NotRun, false});
+    AttemptSummary story;
+    story.add(classifyFailure(FailurePoint::AllSent, {true, false}));
+    const Verdict told = story.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false});
     BOOST_TEST((told.ran == Ran::Unknown));
     BOOST_TEST((told.code == ResultCode::AnswerLost));
-    story.add(judge(Point::AnswerBegun, {true, false}));
-    BOOST_TEST((story.tell({ResultCode::NoEngine, Ran::NotRun, false}).ran == Ran::Ran));
+    story.add(classifyFailure(FailurePoint::AnswerBegun, {true, false}));
+    BOOST_TEST((story.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false}).ran == Ran::Ran));
 }
 
 BOOST_AUTO_TEST_CASE(story_nothingLeftToTry_tellsWhyTheLatestAttemptFailed)
 {
     const Verdict noEngine{ResultCode::NoEngine, Ran::NotRun, false};
-    Story story;
-    BOOST_TEST((story.tell(noEngine).code == ResultCode::NoEngine));
-    story.add(judge(Point::RefusedUnstarted, {true, false}));
-    BOOST_TEST((story.tell(noEngine).code == ResultCode::BackendRefused));
+    AttemptSummary story;
+    BOOST_TEST((story.finalVerdict(noEngine).code == ResultCode::NoEngine));
+    story.add(classifyFailure(FailurePoint::RefusedUnstarted, {true, false}));
+    BOOST_TEST((story.finalVerdict(noEngine).code == ResultCode::BackendRefused));
 }
 
 BOOST_AUTO_TEST_CASE(retryBudget_failingPool_isAskedAtMostTheRatioMore)
@@ -148,9 +149,9 @@
         double budget;
         NextStep expected;
     };
-    const Verdict refused = judge(Point::RefusedUnstarted, {false, false});
-    const Verdict lost = judge(Point::AllSent, {false, false});
-    const Verdict lostRepeatable = judge(Point::AllSent, {true, false});
+    const Verdict refused = classifyFailure(FailurePoint::RefusedUnstarted, {false, false});
+    const Verdict lost = classifyFailure(FailurePoint::AllSent, {false, false});
+    const Verdict lostRepeatable = classifyFailure(FailurePoint::AllSent, {true, false});
     const Verdict spent{ResultCode::RetryBudgetSpent, Ran::NotRun, false};
     const auto told = [](Verdict verdict) {
         verdict.mayRetry = false;
--- a/test/correctness/PermitLedgerTest.cpp
+++ b/test/correctness/PermitLedgerTest.cpp
@@ -9,10 +9,10 @@
 
 using namespace limereel;
 using kernel::Instant;
-using routing::Ask;
 using routing::Bounds;
 using routing::GrantResult;
 using routing::PermitLedger;
+using routing::PermitRequest;
 
 namespace {
 
@@ -21,7 +21,7 @@
     return Instant(kernel::Duration(3600s) + sinceStart);
 }
 
-constexpr Bounds Three{.bound = 3, .settlingBound = 2, .slots = 100, .unknownLoad = 0};
+constexpr Bounds Three{.bound = 3, .settlingBound = 2, .slots = 100, .unaccountedLoad = 0};
 
 struct LedgerFixture
 {
@@ -71,7 +71,7 @@
 BOOST_FIXTURE_TEST_CASE(ask_engineReportsUnknownLoad_isCountedAgainstTheBound, LedgerFixture)
 {
     Bounds bounds = Three;
-    bounds.unknownLoad = 2;
+    bounds.unaccountedLoad = 2;
     BOOST_TEST((ledger.ask({1, 1, 0}, bounds, at(0ms)) == GrantResult::Granted));
     BOOST_TEST((ledger.ask({2, 1, 0}, bounds, at(0ms)) == GrantResult::Full));
 }
@@ -108,7 +108,7 @@
 BOOST_AUTO_TEST_CASE(fairness_oneSurges_quietOnesFindAPlace)
 {
     PermitLedger ledger({.lease = 10s, .settle = 5s, .reservedShare = 0.25}, at(0ms), false);
-    const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unknownLoad = 0};
+    const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unaccountedLoad = 0};
     std::uint64_t request = 0;
     int surging = 0;
     while (ledger.ask({++request, 1, 7}, twenty, at(0ms)) == GrantResult::Granted) {
@@ -125,7 +125,7 @@
 {
     // The same surge without the mechanism: what the reserve is for.
     PermitLedger ledger({.lease = 10s, .settle = 5s, .reservedShare = 0}, at(0ms), false);
-    const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unknownLoad = 0};
+    const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unaccountedLoad = 0};
     for (std::uint64_t request = 1; request <= 20; ++request) {
         ledger.ask({request, 1, 7}, twenty, at(0ms));
     }
--- a/test/correctness/PlacementTest.cpp
+++ b/test/correctness/PlacementTest.cpp
@@ -41,7 +41,7 @@
 {
     return {.name = name,
             .usable = true,
-            .room = 1,
+            .modelCapacity = 1,
             .models = std::move(models),
             .inFlight = inFlight};
 }
@@ -248,7 +248,7 @@
                 for (auto &[model, ready] : each.models) {
                     ready = true;
                 }
-                BOOST_TEST(each.models.size() <= each.room);
+                BOOST_TEST(each.models.size() <= each.modelCapacity);
             }
         }
         // Steady demand: the plan comes to rest and stays there.
--- a/test/correctness/RoutingTest.cpp
+++ b/test/correctness/RoutingTest.cpp
@@ -4,9 +4,9 @@
 #include "membership/Rendezvous.h"
 #include "routing/ChatIndex.h"
 #include "routing/ChatToken.h"
-#include "routing/LoadBook.h"
 #include "routing/LoadBound.h"
 #include "routing/LoadEstimate.h"
+#include "routing/LoadTable.h"
 #include "routing/PermitHistory.h"
 #include "routing/Placement.h"
 
@@ -120,7 +120,7 @@
 {
     const auto all = members(6);
     for (std::uint64_t thing = 1; thing < 100; ++thing) {
-        const auto line = membership::ownersInLine(thing, all, 3);
+        const auto line = membership::rankedOwners(thing, all, 3);
         auto rest = all;
         std::erase(rest, line[0]);
         BOOST_TEST(*membership::ownerOf(thing, rest) == line[1]);
@@ -144,8 +144,8 @@
 BOOST_AUTO_TEST_CASE(estimateInFlight_ownGainedOrLost_othersAreTakenToHaveToo)
 {
     using routing::OwnerReport;
-    const std::vector<OwnerReport> others = {{.inFlight = 30, .engines = 20, .ownThen = 10},
-                                             {.inFlight = 10, .engines = 20, .ownThen = 20}};
+    const std::vector<OwnerReport> others = {{.inFlight = 30, .engines = 20, .ownAtReport = 10},
+                                             {.inFlight = 10, .engines = 20, .ownAtReport = 20}};
     BOOST_TEST(routing::estimateInFlight(20, 10, others) == 20U + 50U + 10U);
     BOOST_TEST(routing::estimateInFlight(0, 10, others) == 0U + 10U + 0U);
     BOOST_TEST(routing::estimateInFlight(0, 0, others) == 40U);
@@ -159,18 +159,18 @@
     };
     constexpr membership::ShortHash Model = 7;
     constexpr std::uint64_t Other = 99;
-    routing::LoadBook book(1s);
+    routing::LoadTable book(1s);
     const std::vector<routing::KnownLoad> engines = {
             {1, 6, 0}, {2, 4, 0}, {3, 5, Other}, {4, 5, Other}};
     // Nothing past is known: the gain is counted from nothing.
     BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 10U + 10U);
-    book.noteBeat({{1, 5}, {2, 3}}, 1);
+    book.noteHeartbeat({{1, 5}, {2, 3}}, 1);
     BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 10U + 2U);
-    book.noteSpoken(Other, Model, 20, 9, at(4500));
+    book.noteReport(Other, Model, 20, 9, at(4500));
     BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 20U + 1U);
     // A word older than the heartbeats no longer counts; nor does one on another model.
     BOOST_TEST(book.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
-    book.noteSpoken(Other, Model + 1, 70, 9, at(5600));
+    book.noteReport(Other, Model + 1, 70, 9, at(5600));
     BOOST_TEST(book.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
 }
 
@@ -196,8 +196,8 @@
                 break;
             }
         }
-        BOOST_REQUIRE(history.greatest(7, since) == expected);
-        BOOST_REQUIRE(history.greatest(8, since) == 0U);
+        BOOST_REQUIRE(history.maxPermitsSince(7, since) == expected);
+        BOOST_REQUIRE(history.maxPermitsSince(8, since) == 0U);
     }
 }
 
--- a/test/performance/PolicyBench.cpp
+++ b/test/performance/PolicyBench.cpp
@@ -231,7 +231,7 @@
     routing::PoolView viewOf(std::size_t owner) const
     {
         std::uint64_t ownNow = 0;
-        std::uint64_t ownThen = 0;
+        std::uint64_t ownAtReport = 0;
         std::uint64_t ownEngines = 0;
         routing::OwnerReport others;
         for (std::size_t engine = 0; engine < Engines; ++engine) {
@@ -241,13 +241,13 @@
             if (engine % Owners == owner) {
                 ++ownEngines;
                 ownNow += engines_[engine].load;
-                ownThen += engines_[engine].reported;
+                ownAtReport += engines_[engine].reported;
             } else {
                 ++others.engines;
                 others.inFlight += engines_[engine].reported;
             }
         }
-        others.ownThen = ownThen;
+        others.ownAtReport = ownAtReport;
         routing::PoolView view;
         view.engines = ownEngines + others.engines;
         view.inFlight = routing::estimateInFlight(ownNow, ownEngines, std::span(&others, 1));
--- a/tutorial/lesson_02_permits.cpp
+++ b/tutorial/lesson_02_permits.cpp
@@ -13,7 +13,7 @@
 {
     const kernel::Instant start{kernel::Duration(1s)};
     routing::PermitLedger ledger({.lease = 30s, .settle = 6s, .reservedShare = 0.25}, start, false);
-    const routing::Bounds bounds{.bound = 4, .settlingBound = 3, .slots = 64, .unknownLoad = 0};
+    const routing::Bounds bounds{.bound = 4, .settlingBound = 3, .slots = 64, .unaccountedLoad = 0};
     constexpr std::uint64_t Router = 1;
     constexpr std::uint64_t Loud = 10;
     constexpr std::uint64_t Quiet = 11;
