--- a/src/routing/ChatIndex.cpp
+++ b/src/routing/ChatIndex.cpp
@@ -4,12 +4,12 @@
 
 std::optional<Holder> ChatIndex::find(kernel::ChatKey chat)
 {
-    const auto place = places_.find(chat);
-    if (place == places_.end()) {
+    const auto found = entries_.find(chat);
+    if (found == entries_.end()) {
         return std::nullopt;
     }
-    byUse_.splice(byUse_.begin(), byUse_, place->second);
-    return place->second->holder;
+    byUse_.splice(byUse_.begin(), byUse_, found->second);
+    return found->second->holder;
 }
 
 void ChatIndex::put(kernel::ChatKey chat, Holder holder)
@@ -21,19 +21,19 @@
     if (capacity_ == 0) {
         return;
     }
-    if (places_.size() >= capacity_) {
-        places_.erase(byUse_.back().chat);
+    if (entries_.size() >= capacity_) {
+        entries_.erase(byUse_.back().chat);
         byUse_.pop_back();
     }
     byUse_.push_front({chat, holder});
-    places_.emplace(chat, byUse_.begin());
+    entries_.emplace(chat, byUse_.begin());
 }
 
 void ChatIndex::erase(kernel::ChatKey chat)
 {
-    if (const auto place = places_.find(chat); place != places_.end()) {
-        byUse_.erase(place->second);
-        places_.erase(place);
+    if (const auto found = entries_.find(chat); found != entries_.end()) {
+        byUse_.erase(found->second);
+        entries_.erase(found);
     }
 }
 
--- a/src/routing/ChatIndex.h
+++ b/src/routing/ChatIndex.h
@@ -1,10 +1,10 @@
 /** \file
- * Where the chats were placed last: a bounded map from a chat's key to the engine that holds its
- * prefix, kept by the owner of the chat's first candidate.
+ * Index of the engine that last served each chat: a bounded map from a chat's key to the engine
+ * that holds its prefix, kept by the owner of the chat's first candidate.
  *
- * An entry is good only for the incarnation of the engine that served it: one that came back empty
- * holds nothing. The least recently used entry makes room for a new one, so the number of chats
- * never decides the memory of a box; a chat that was dropped goes back to rendezvous order.
+ * An entry is valid only for the incarnation of the engine that served the chat: an engine that has
+ * restarted holds no prefixes. A new entry evicts the least recently used one, so the memory of a
+ * box doesn't grow with the number of chats; an evicted chat is placed in rendezvous order again.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace limereel::routing {
 
-/** The engine that served a chat. */
+/** The engine that last served a chat, and its incarnation at that time. */
 struct Holder
 {
     std::uint64_t engine = 0;
@@ -35,12 +35,12 @@
     {
     }
 
-    /** The holder of \a chat, which becomes the most recently used. */
+    /** The holder of \a chat, which becomes the most recently used entry. */
     std::optional<Holder> find(kernel::ChatKey chat);
 
     void put(kernel::ChatKey chat, Holder holder);
     void erase(kernel::ChatKey chat);
-    std::size_t size() const { return places_.size(); }
+    std::size_t size() const { return entries_.size(); }
 
 private:
     struct Entry
@@ -51,7 +51,7 @@
 
     std::size_t capacity_;
     std::list<Entry> byUse_; ///< Most recently used first.
-    std::unordered_map<kernel::ChatKey, std::list<Entry>::iterator> places_;
+    std::unordered_map<kernel::ChatKey, std::list<Entry>::iterator> entries_;
 };
 
 } // namespace limereel::routing
--- a/src/routing/ChatToken.cpp
+++ b/src/routing/ChatToken.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t CodeBytes = 12;
+constexpr std::size_t MacBytes = 12;
 
 struct Fields
 {
@@ -18,10 +18,11 @@
 };
 
 using Plain = std::array<std::uint8_t, sizeof(Fields)>;
-using Code = std::array<std::uint8_t, 16>;
+using Mac = std::array<std::uint8_t, 16>;
 
-// The key is used for datagrams as well; the label keeps the two kinds of codes apart.
-Code codeOf(const Plain &plain, kernel::ChatKey chat, const peer::PeerKey &key)
+// The key authenticates datagrams as well; the label keeps a code made for one use from verifying
+// in the other.
+Mac macOf(const Plain &plain, kernel::ChatKey chat, const peer::PeerKey &key)
 {
     constexpr std::string_view Label = "limereel chat token";
     std::vector<std::uint8_t> input(Label.begin(), Label.end());
@@ -29,10 +30,9 @@
     std::array<std::uint8_t, sizeof(chat)> chatBytes{};
     std::memcpy(chatBytes.data(), &chat, sizeof(chat));
     input.insert(input.end(), chatBytes.begin(), chatBytes.end());
-    Code code{};
-    crypto_generichash(code.data(), code.size(), input.data(), input.size(), key.data(),
-                       key.size());
-    return code;
+    Mac mac{};
+    crypto_generichash(mac.data(), mac.size(), input.data(), input.size(), key.data(), key.size());
+    return mac;
 }
 
 } // namespace
@@ -42,11 +42,11 @@
     const Fields fields{holder.engine, holder.incarnation};
     Plain plain{};
     std::memcpy(plain.data(), &fields, sizeof(fields));
-    const Code code = codeOf(plain, chat, key);
-    std::array<std::uint8_t, sizeof(Fields) + CodeBytes> bytes{};
+    const Mac mac = macOf(plain, chat, key);
+    std::array<std::uint8_t, sizeof(Fields) + MacBytes> bytes{};
     std::memcpy(bytes.data(), plain.data(), plain.size());
-    std::memcpy(bytes.data() + plain.size(), code.data(), CodeBytes);
-    std::array<char, 2 * (sizeof(Fields) + CodeBytes) + 1> hex{};
+    std::memcpy(bytes.data() + plain.size(), mac.data(), MacBytes);
+    std::array<char, 2 * (sizeof(Fields) + MacBytes) + 1> hex{};
     sodium_bin2hex(hex.data(), hex.size(), bytes.data(), bytes.size());
     return hex.data();
 }
@@ -54,7 +54,7 @@
 std::optional<Holder> readChatToken(std::string_view token, kernel::ChatKey chat,
                                     std::span<const peer::PeerKey> keys)
 {
-    std::array<std::uint8_t, sizeof(Fields) + CodeBytes> bytes{};
+    std::array<std::uint8_t, sizeof(Fields) + MacBytes> bytes{};
     std::size_t length = 0;
     const int failed = sodium_hex2bin(bytes.data(), bytes.size(), token.data(), token.size(),
                                       nullptr, &length, nullptr);
@@ -64,8 +64,8 @@
     Plain plain{};
     std::memcpy(plain.data(), bytes.data(), plain.size());
     for (const peer::PeerKey &key : keys) {
-        const Code code = codeOf(plain, chat, key);
-        if (sodium_memcmp(code.data(), bytes.data() + plain.size(), CodeBytes) == 0) {
+        const Mac mac = macOf(plain, chat, key);
+        if (sodium_memcmp(mac.data(), bytes.data() + plain.size(), MacBytes) == 0) {
             Fields fields{};
             std::memcpy(&fields, plain.data(), sizeof(fields));
             return Holder{fields.engine, fields.incarnation};
--- a/src/routing/ChatToken.h
+++ b/src/routing/ChatToken.h
@@ -1,9 +1,10 @@
 /** \file
- * An opaque token that a caller may send back with a chat's next turn: it names the engine that
- * served the last one, so that any router finds it without any state.
+ * An opaque token that a caller may send back with a chat's next turn. It names the engine that
+ * served the last turn, so that any router finds that engine without keeping state.
  *
- * A hint, never a right: it is bound to the chat's key, so one organisation's token is of no use to
- * another, and a token that doesn't verify or names an engine that came back empty is passed over.
+ * The token is a hint and grants no access. It is authenticated together with the chat's key, so
+ * one organisation's token is of no use to another. A token that doesn't verify, or that names an
+ * engine that has restarted since, is ignored.
  */
 #pragma once
 
@@ -21,7 +22,7 @@
 /** The token for \a chat, last served by \a holder. */
 std::string makeChatToken(kernel::ChatKey chat, const Holder &holder, const peer::PeerKey &key);
 
-/** The holder that \a token names, if it was made for \a chat under one of \a keys. */
+/** The holder named by \a token; nothing unless it was made for \a chat with one of \a keys. */
 std::optional<Holder> readChatToken(std::string_view token, kernel::ChatKey chat,
                                     std::span<const peer::PeerKey> keys);
 
--- a/src/routing/LoadEstimate.cpp
+++ b/src/routing/LoadEstimate.cpp
@@ -9,13 +9,13 @@
 
 double estimateOne(double ownNow, std::uint64_t ownEngines, const OwnerReport &report)
 {
-    const auto spoken = static_cast<double>(report.inFlight);
+    const auto reported = static_cast<double>(report.inFlight);
     if (ownEngines == 0) {
-        return spoken;
+        return reported;
     }
     const double gained =
             (ownNow - static_cast<double>(report.ownAtReport)) / static_cast<double>(ownEngines);
-    return std::max(0.0, spoken + gained * static_cast<double>(report.engines));
+    return std::max(0.0, reported + gained * static_cast<double>(report.engines));
 }
 
 } // namespace
--- a/src/routing/LoadEstimate.h
+++ b/src/routing/LoadEstimate.h
@@ -1,11 +1,12 @@
 /** \file
- * What a pool carries now, from the words of other owners that are older and own counts that are
- * not.
+ * Estimates the present load of a pool from older reports of other owners and the current count of
+ * this owner.
  *
- * Requests are spread over owners by hashing, so what the own engines have gained since another
- * owner spoke, its engines have most likely gained too. Without this the bound lags behind a surge
- * and refuses requests that every engine has room for. Owners speak in every heartbeat, and in
- * every ask and answer as well: in a surge, when it matters, the words are milliseconds old.
+ * Requests are spread over owners by hashing, so since another owner's report the load of its
+ * engines has most likely changed as much as that of the own engines. Without this correction the
+ * bound lags behind a surge, and requests are refused that every engine has capacity for. Owners
+ * report their loads in every heartbeat and in every permit request and answer, so in a surge, when
+ * it matters, the reports are milliseconds old.
  */
 #pragma once
 
@@ -14,16 +15,18 @@
 
 namespace limereel::routing {
 
-/** The last word of another owner on its engines of one model. */
+/** The last report of another owner on its engines of one model. */
 struct OwnerReport
 {
-    std::uint64_t inFlight = 0; ///< On its engines, when it spoke.
+    std::uint64_t inFlight = 0; ///< On its engines, at the time of the report.
     std::uint64_t engines = 0;
-    std::uint64_t ownAtReport = 0; ///< In flight on own engines, when it spoke.
+    std::uint64_t ownAtReport = 0; ///< In flight on the own engines, at the time of the report.
 };
 
-/** In flight on all engines of a model, as far as can be told.
- * \param ownNow in flight on the own engines, \a ownEngines of them. */
+/**
+ * Estimated requests in flight on all engines of a model.
+ * \param ownNow in flight on the own engines, of which there are \a ownEngines.
+ */
 std::uint64_t estimateInFlight(std::uint64_t ownNow, std::uint64_t ownEngines,
                                std::span<const OwnerReport> others);
 
--- a/src/routing/LoadTable.cpp
+++ b/src/routing/LoadTable.cpp
@@ -13,9 +13,9 @@
 
 void LoadTable::noteHeartbeat(OwnLoads own, std::size_t reportAge)
 {
-    past_.push_front(std::move(own));
-    if (past_.size() > MostPast) {
-        past_.pop_back();
+    pastOwnLoads_.push_front(std::move(own));
+    if (pastOwnLoads_.size() > MaxPastHeartbeats) {
+        pastOwnLoads_.pop_back();
     }
     reportAge_ = std::max<std::size_t>(1, reportAge);
 }
@@ -23,12 +23,12 @@
 void LoadTable::noteReport(std::uint64_t box, ShortHash model, std::uint32_t load,
                            std::uint32_t own, Instant now)
 {
-    spoken_[{box, model}] = {load, own, now};
+    reports_[{box, model}] = {load, own, now};
 }
 
 void LoadTable::forget(Duration age, Instant now)
 {
-    std::erase_if(spoken_, [age, now](const auto &entry) { return now - entry.second.at > age; });
+    std::erase_if(reports_, [age, now](const auto &entry) { return now - entry.second.at > age; });
 }
 
 std::uint64_t LoadTable::inFlight(ShortHash model, std::span<const KnownLoad> engines,
@@ -47,31 +47,31 @@
         ++report.engines;
         report.inFlight += engine.inFlight;
     }
-    const Duration heartbeatsOld = period_ * static_cast<std::int64_t>(reportAge_);
+    const Duration heartbeatAge = period_ * static_cast<std::int64_t>(reportAge_);
     std::vector<OwnerReport> reports;
     for (auto &[box, report] : others) {
         report.ownAtReport = ownAtReport(engines);
-        const auto spoken = spoken_.find({box, model});
-        if (spoken != spoken_.end() && now - spoken->second.at < heartbeatsOld) {
-            report.inFlight = spoken->second.load;
-            report.ownAtReport = spoken->second.ownAtReport;
+        const auto latest = reports_.find({box, model});
+        if (latest != reports_.end() && now - latest->second.at < heartbeatAge) {
+            report.inFlight = latest->second.load;
+            report.ownAtReport = latest->second.ownAtReport;
         }
         reports.push_back(report);
     }
     return estimateInFlight(ownNow, ownEngines, reports);
 }
 
-// The own load when the heartbeats were sent that are known now.
+// The own load at the time when the heartbeats known now were sent.
 std::uint64_t LoadTable::ownAtReport(std::span<const KnownLoad> engines) const
 {
-    if (past_.empty()) {
+    if (pastOwnLoads_.empty()) {
         return 0;
     }
-    const OwnLoads &then = past_[std::min(reportAge_, past_.size()) - 1];
+    const OwnLoads &loadsThen = pastOwnLoads_[std::min(reportAge_, pastOwnLoads_.size()) - 1];
     std::uint64_t sum = 0;
     for (const KnownLoad &engine : engines) {
-        const auto place = then.find(engine.engine);
-        sum += engine.reporter == 0 && place != then.end() ? place->second : 0;
+        const auto found = loadsThen.find(engine.engine);
+        sum += engine.reporter == 0 && found != loadsThen.end() ? found->second : 0;
     }
     return sum;
 }
--- a/src/routing/LoadTable.h
+++ b/src/routing/LoadTable.h
@@ -1,9 +1,10 @@
 /** \file
- * What an owner has heard of the loads on other owners' engines, and what it carried itself at the
- * time.
+ * The loads of other owners' engines as last reported, and this owner's own load at the time of
+ * each report.
  *
- * Two sources: heartbeats, a few periods old, and the word that comes with each ask and answer,
- * which is fresh. The newer one counts. From there LoadEstimate reckons forward.
+ * There are two sources: heartbeats, which are a few periods old, and the load that comes with each
+ * permit request and answer, which is current. The newer one is used; LoadEstimate extrapolates it
+ * to the present.
  */
 #pragma once
 
@@ -18,47 +19,51 @@
 
 namespace limereel::routing {
 
-/** One engine's load as it is known here. */
+/** One engine's load as known to this box. */
 struct KnownLoad
 {
     std::uint64_t engine = 0;
     std::uint32_t inFlight = 0;
-    std::uint64_t reporter = 0; ///< The box that said so; 0: this box, which owns it.
+    std::uint64_t reporter = 0; ///< The box that reported it; 0: this box, which owns the engine.
 };
 
-/** In flight by engine. */
+/** Requests in flight by engine. */
 using OwnLoads = std::unordered_map<std::uint64_t, std::uint32_t>;
 
-/** The book of one owner. */
+/** The load table of one owner. */
 class LoadTable
 {
 public:
-    /** \param period of the heartbeats. */
+    /** \param period time between two heartbeats. */
     explicit LoadTable(kernel::Duration period)
         : period_(period)
     {
     }
 
-    /** Notes the own loads at a heartbeat, and how many periods old what others said in theirs is.
+    /**
+     * Records the own loads at a heartbeat. \param reportAge age, in periods, of the loads in the
+     * heartbeats of other boxes.
      */
     void noteHeartbeat(OwnLoads own, std::size_t reportAge);
 
-    /** Notes that \a box has \a load on its engines of \a model, while this one had \a own. */
+    /**
+     * Records that \a box reported \a load on its engines of \a model while this box had \a own.
+     */
     void noteReport(std::uint64_t box, membership::ShortHash model, std::uint32_t load,
                     std::uint32_t own, kernel::Instant now);
 
-    /** Forgets words older than \a age. */
+    /** Drops reports older than \a age. */
     void forget(kernel::Duration age, kernel::Instant now);
 
-    /** In flight on all of \a engines, which hold \a model, as far as can be told. */
+    /** Estimated requests in flight on all of \a engines, which hold \a model. */
     std::uint64_t inFlight(membership::ShortHash model, std::span<const KnownLoad> engines,
                            kernel::Instant now) const;
 
-    /** Heartbeats that are looked back. */
-    static constexpr std::size_t MostPast = 8;
+    /** Number of past heartbeats whose own loads are kept. */
+    static constexpr std::size_t MaxPastHeartbeats = 8;
 
 private:
-    struct Spoken
+    struct Report
     {
         std::uint32_t load = 0;
         std::uint32_t ownAtReport = 0;
@@ -69,9 +74,9 @@
 
     kernel::Duration period_;
     std::size_t reportAge_ = 1;
-    std::deque<OwnLoads> past_; ///< At the last heartbeats, newest first.
-    std::map<std::pair<std::uint64_t, membership::ShortHash>, Spoken>
-            spoken_; ///< By box and model.
+    std::deque<OwnLoads> pastOwnLoads_; ///< Own loads at the last heartbeats, newest first.
+    std::map<std::pair<std::uint64_t, membership::ShortHash>, Report>
+            reports_; ///< By box and model.
 };
 
 } // namespace limereel::routing
--- a/src/routing/PermitHistory.h
+++ b/src/routing/PermitHistory.h
@@ -1,8 +1,8 @@
 /** \file
- * What an owner had granted on each of its engines at its last heartbeats, by time.
+ * The permits that an owner had granted on each of its engines at its last heartbeats, by time.
  *
- * An engine's report is old when it is made and older when it is read, as the reader may have stood
- * still. What was granted at any moment since explains the load that it tells.
+ * The load that an engine reports is out of date when it is sent, and more so when it is read, as
+ * the reader may have been paused. Permits granted at any moment since then account for that load.
  */
 #pragma once
 
@@ -13,31 +13,31 @@
 
 namespace limereel::routing {
 
-/** The history of one owner. Pure: time is handed in. */
+/** The history of one owner. Reads no clock: the time is passed in. */
 class PermitHistory
 {
 public:
-    /** \param kept how far back it reaches. */
+    /** \param kept period that the history covers. */
     explicit PermitHistory(kernel::Duration kept)
         : kept_(kept)
     {
     }
 
-    /** Notes the permits on all own engines at \a now, which never goes back. */
+    /** Records the permits on all own engines at \a now, which must not decrease between calls. */
     void note(OwnLoads permits, kernel::Instant now);
 
-    /** The most permits on \a engine at any moment from \a since on, as far as is kept. */
+    /** The largest number of permits on \a engine at any recorded moment from \a since on. */
     std::uint32_t maxPermitsSince(std::uint64_t engine, kernel::Instant since) const;
 
 private:
-    struct Beat
+    struct Entry
     {
         kernel::Instant at;
         OwnLoads permits;
     };
 
     kernel::Duration kept_;
-    std::deque<Beat> beats_; ///< Newest first.
+    std::deque<Entry> entries_; ///< Newest first.
 };
 
 } // namespace limereel::routing
--- a/src/routing/PermitLedger.cpp
+++ b/src/routing/PermitLedger.cpp
@@ -23,14 +23,15 @@
     if (leaving_) {
         return GrantResult::Leaving;
     }
-    const std::uint32_t most = limit(bounds, now);
-    // A permit is granted before the engine sees the request and returned after it saw the end, so
-    // a report above the permits shows work that this owner doesn't know of: of an earlier owner,
-    // or of a router that was paused past its leases.
-    if (inFlight() + bounds.unaccountedLoad >= most) {
+    const std::uint32_t maxInFlight = limit(bounds, now);
+    // A permit is granted before the engine receives the request and returned after the engine has
+    // ended it. A reported load above the permits therefore shows requests that this owner doesn't
+    // know of: granted by an earlier owner, or sent by a router that was paused until its leases
+    // had ended.
+    if (inFlight() + bounds.unaccountedLoad >= maxInFlight) {
         return GrantResult::Full;
     }
-    if (ask.organisation != 0 && overFairShare(ask.organisation, most)) {
+    if (ask.organisation != 0 && exceedsFairShare(ask.organisation, maxInFlight)) {
         return GrantResult::Unfair;
     }
     add(ask, now);
@@ -39,11 +40,11 @@
 
 bool PermitLedger::giveBack(std::uint64_t request)
 {
-    const auto place = permits_.find(request);
-    if (place == permits_.end()) {
+    const auto entry = permits_.find(request);
+    if (entry == permits_.end()) {
         return false;
     }
-    remove(place);
+    remove(entry);
     return true;
 }
 
@@ -59,13 +60,13 @@
 std::size_t PermitLedger::expire(Instant now)
 {
     std::size_t dropped = 0;
-    for (auto place = permits_.begin(); place != permits_.end();) {
-        const auto next = std::next(place);
-        if (place->second.until <= now) {
-            remove(place);
+    for (auto entry = permits_.begin(); entry != permits_.end();) {
+        const auto next = std::next(entry);
+        if (entry->second.until <= now) {
+            remove(entry);
             ++dropped;
         }
-        place = next;
+        entry = next;
     }
     return dropped;
 }
@@ -75,12 +76,12 @@
     return std::min(settling(now) ? bounds.settlingBound : bounds.bound, bounds.slots);
 }
 
-bool PermitLedger::overFairShare(std::uint64_t organisation, std::uint32_t most) const
+bool PermitLedger::exceedsFairShare(std::uint64_t organisation, std::uint32_t maxInFlight) const
 {
     const auto own = perOrganisation_.find(organisation);
     const bool present = own != perOrganisation_.end();
     const auto others = static_cast<std::uint32_t>(perOrganisation_.size());
-    return !admission::fairShareAllows({.limit = most,
+    return !admission::fairShareAllows({.limit = maxInFlight,
                                         .taken = inFlight(),
                                         .own = present ? own->second : 0,
                                         .organisations = present ? others : others + 1,
@@ -93,13 +94,13 @@
     ++perOrganisation_[ask.organisation];
 }
 
-void PermitLedger::remove(std::unordered_map<std::uint64_t, Permit>::iterator place)
+void PermitLedger::remove(std::unordered_map<std::uint64_t, Permit>::iterator entry)
 {
-    const auto count = perOrganisation_.find(place->second.ask.organisation);
+    const auto count = perOrganisation_.find(entry->second.ask.organisation);
     if (--count->second == 0) {
         perOrganisation_.erase(count);
     }
-    permits_.erase(place);
+    permits_.erase(entry);
 }
 
 } // namespace limereel::routing
--- a/src/routing/Placement.cpp
+++ b/src/routing/Placement.cpp
@@ -15,12 +15,12 @@
     if (!holder) {
         return nullptr;
     }
-    const auto place = std::ranges::find(pool, holder->engine, &Candidate::engine);
-    const bool same = place != pool.end() && place->incarnation == holder->incarnation;
-    return same ? &*place : nullptr;
+    const auto found = std::ranges::find(pool, holder->engine, &Candidate::engine);
+    const bool same = found != pool.end() && found->incarnation == holder->incarnation;
+    return same ? &*found : nullptr;
 }
 
-// In whole numbers: load <= inFlight / engines.
+// In integer arithmetic: load <= inFlight / engines.
 bool atMostMean(const Candidate &candidate, const PoolView &view)
 {
     return candidate.inFlight * view.engines <= view.inFlight;
--- a/src/routing/Placement.h
+++ b/src/routing/Placement.h
@@ -1,12 +1,12 @@
 /** \file
- * Which engine a chat's next turn should run on, as the owner of the chat's first candidate sees
- * it.
+ * Chooses the engine for a chat's next turn, as the owner of the chat's first candidate sees it.
  *
- * A warm chat goes to the engine that holds its prefix while that one is within the bound. A cold
- * chat stays on its first candidate while that is no busier than the mean; else it goes to the
- * least loaded of the first few, where the bound will not push it away again on its next turn. When
- * all of these are full the least loaded ones of the whole pool follow, as in bounded-load hashing:
- * with c above 1 one of them has room. The measure behind it is in docs/design/routing.md.
+ * A warm chat, whose prefix is held by an engine, goes to that engine while it is below the bound.
+ * A cold chat goes to its first candidate while that one's load is at most the mean; otherwise to
+ * the least loaded of the first few candidates, where the bound will not move it away again on its
+ * next turn. When all of these are full, the least loaded engines of the whole pool follow, as in
+ * bounded-load hashing: with c above 1, at least one engine is below the bound. The measurements
+ * are in docs/design/routing.md.
  */
 #pragma once
 
@@ -36,7 +36,7 @@
 /** The name of \a reason for logs and counters. */
 const char *text(Reason reason);
 
-/** One engine to ask, and why. */
+/** An engine to request a permit for, and why it was chosen. */
 struct Choice
 {
     std::uint64_t engine = 0;
@@ -48,9 +48,9 @@
 /** The state of the pool as one box sees it. */
 struct PoolView
 {
-    std::uint64_t inFlight = 0; ///< Over all the pool's engines of the hall.
+    std::uint64_t inFlight = 0; ///< On all engines of the pool in the hall.
     std::uint64_t engines = 0;  ///< Engines of the pool in the hall.
-    std::uint32_t bound = 1;    ///< loadBound() of the two with the pool's c.
+    std::uint32_t bound = 1;    ///< loadBound() of the two values above with the pool's c.
 };
 
 /** The first \a count engines of \a pool for \a chat, best first; the same on every router. */
@@ -58,18 +58,19 @@
                                      std::size_t count);
 
 /**
- * The engines to ask for \a chat, best first, each once.
- * \param candidates as of candidatesFor(), not empty.
- * \param holder the engine that served the chat last, if any; it needn't be among the candidates,
- * but must be in \a pool under the same incarnation to count.
+ * The engines to request a permit for on behalf of a chat, best first, each once.
+ * \param candidates result of candidatesFor(), not empty.
+ * \param holder the engine that served the chat last, if any. It needn't be among the candidates,
+ * but counts only if \a pool has it under the same incarnation.
  */
 std::vector<Choice> placeChat(std::span<const Candidate> candidates,
                               const std::optional<Holder> &holder, std::span<const Candidate> pool,
                               const PoolView &view);
 
 /**
- * The \a most engines of \a order, as of placeChat(), that are worth an ask. The last candidates
- * go first: those of the whole pool stand for the promise that one engine has room.
+ * At most \a most engines of \a order, a result of placeChat(), to request permits for. The last
+ * candidates are dropped first. The engines of the whole pool are kept, as they ensure that an
+ * engine below the bound is tried.
  */
 std::vector<Choice> shortlist(std::vector<Choice> order, std::size_t most);
 
--- a/test/correctness/PermitLedgerTest.cpp
+++ b/test/correctness/PermitLedgerTest.cpp
@@ -1,4 +1,4 @@
-// The permits of one resource: the bound, leases, lost messages, a takeover, fairness.
+// The permits of one resource: bound, leases, lost messages, takeover, fairness.
 
 #include "routing/PermitLedger.h"
 #include "admission/FairShare.h"
@@ -28,7 +28,9 @@
     PermitLedger ledger{{.lease = 10s, .settle = 5s, .reservedShare = 0}, at(0ms), false};
 };
 
-/** Naive: every permit with its end in a map, nothing kept in step with anything. */
+/**
+ * The naive ledger: a map of the permits and their ends, without other state to keep consistent.
+ */
 struct NaiveLedger
 {
     std::map<std::uint64_t, Instant> ends;
@@ -59,7 +61,7 @@
     BOOST_TEST(ledger.inFlight() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(ask_leaving_isRefusedWhileWorkGoesOn, LedgerFixture)
+BOOST_FIXTURE_TEST_CASE(ask_leaving_isRefusedWhilePermitsStayValid, LedgerFixture)
 {
     ledger.ask({1, 1, 0}, Three, at(0ms));
     ledger.setLeaving(true);
@@ -68,7 +70,7 @@
     BOOST_TEST(ledger.inFlight() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(ask_engineReportsUnknownLoad_isCountedAgainstTheBound, LedgerFixture)
+BOOST_FIXTURE_TEST_CASE(ask_engineReportsUnaccountedLoad_isCountedAgainstTheBound, LedgerFixture)
 {
     Bounds bounds = Three;
     bounds.unaccountedLoad = 2;
@@ -95,7 +97,7 @@
     BOOST_TEST(ledger.inFlight() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(takeover_whileSettling_grantsOnlyUpToTheMeanAndAdopts)
+BOOST_AUTO_TEST_CASE(takeover_whileSettling_grantsUpToTheMeanAndAdoptsRenewals)
 {
     PermitLedger ledger({.lease = 10s, .settle = 5s, .reservedShare = 0}, at(0ms), true);
     BOOST_TEST((ledger.ask({1, 1, 0}, Three, at(0ms)) == GrantResult::Granted));
@@ -105,7 +107,7 @@
     BOOST_TEST((ledger.ask({4, 1, 0}, Three, at(5s)) == GrantResult::Full));
 }
 
-BOOST_AUTO_TEST_CASE(fairness_oneSurges_quietOnesFindAPlace)
+BOOST_AUTO_TEST_CASE(fairness_oneSurges_othersStillGetPermits)
 {
     PermitLedger ledger({.lease = 10s, .settle = 5s, .reservedShare = 0.25}, at(0ms), false);
     const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unaccountedLoad = 0};
@@ -115,15 +117,15 @@
         ++surging;
     }
     BOOST_TEST(surging == 15);
-    for (std::uint64_t quiet = 100; quiet < 105; ++quiet) {
-        BOOST_TEST((ledger.ask({++request, 1, quiet}, twenty, at(0ms)) == GrantResult::Granted));
+    for (std::uint64_t other = 100; other < 105; ++other) {
+        BOOST_TEST((ledger.ask({++request, 1, other}, twenty, at(0ms)) == GrantResult::Granted));
     }
     BOOST_TEST((ledger.ask({++request, 1, 105}, twenty, at(0ms)) == GrantResult::Full));
 }
 
-BOOST_AUTO_TEST_CASE(fairness_withoutReserve_quietOnesAreShutOut)
+BOOST_AUTO_TEST_CASE(fairness_withoutReserve_othersGetNoPermit)
 {
-    // The same surge without the mechanism: what the reserve is for.
+    // The same surge without a reserve, to show what the reserve is for.
     PermitLedger ledger({.lease = 10s, .settle = 5s, .reservedShare = 0}, at(0ms), false);
     const Bounds twenty{.bound = 20, .settlingBound = 20, .slots = 100, .unaccountedLoad = 0};
     for (std::uint64_t request = 1; request <= 20; ++request) {
@@ -169,7 +171,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(fairShareAllows_table_asStated)
+BOOST_AUTO_TEST_CASE(fairShareAllows_eachRow_decidesAsExpected)
 {
     struct Row
     {
--- a/test/correctness/RoutingTest.cpp
+++ b/test/correctness/RoutingTest.cpp
@@ -1,4 +1,4 @@
-// Rendezvous order, load bound, chat index and placement, each against a plain reference.
+// Compares rendezvous order, load bound, chat index and placement each with a plain reference.
 
 #include "membership/Ownership.h"
 #include "membership/Rendezvous.h"
@@ -33,7 +33,7 @@
     return result;
 }
 
-/** The naive index: a list searched from the front, the last one dropped. */
+/** The naive index: a list searched from the front, whose last entry is dropped. */
 class NaiveIndex
 {
 public:
@@ -44,13 +44,13 @@
 
     std::optional<Holder> find(std::uint64_t chat)
     {
-        const auto place =
+        const auto position =
                 std::ranges::find(entries_, chat, &std::pair<std::uint64_t, Holder>::first);
-        if (place == entries_.end()) {
+        if (position == entries_.end()) {
             return std::nullopt;
         }
-        const auto entry = *place;
-        entries_.erase(place);
+        const auto entry = *position;
+        entries_.erase(position);
         entries_.push_front(entry);
         return entry.second;
     }
@@ -116,18 +116,18 @@
     BOOST_TEST(!membership::rendezvousOwner(1, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ownersInLine_firstGone_secondTakesOver)
+BOOST_AUTO_TEST_CASE(rankedOwners_firstFails_secondTakesOver)
 {
     const auto all = members(6);
-    for (std::uint64_t thing = 1; thing < 100; ++thing) {
-        const auto line = membership::rankedOwners(thing, all, 3);
+    for (std::uint64_t resource = 1; resource < 100; ++resource) {
+        const auto ranked = membership::rankedOwners(resource, all, 3);
         auto rest = all;
-        std::erase(rest, line[0]);
-        BOOST_TEST(*membership::ownerOf(thing, rest) == line[1]);
+        std::erase(rest, ranked[0]);
+        BOOST_TEST(*membership::ownerOf(resource, rest) == ranked[1]);
     }
 }
 
-BOOST_AUTO_TEST_CASE(loadBound_anyLoad_isLeastWholeNumberNotBelowTheMultiple)
+BOOST_AUTO_TEST_CASE(loadBound_anyLoad_isTheMultipleRoundedUp)
 {
     for (std::uint64_t load = 0; load < 300; load += 7) {
         for (const double c : {1.05, 1.25, 1.5, 2.0}) {
@@ -141,7 +141,7 @@
     BOOST_TEST(routing::loadBound(1.25, 0, 0) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(estimateInFlight_ownGainedOrLost_othersAreTakenToHaveToo)
+BOOST_AUTO_TEST_CASE(estimateInFlight_ownLoadChanged_othersAreAssumedToChangeAlike)
 {
     using routing::OwnerReport;
     const std::vector<OwnerReport> others = {{.inFlight = 30, .engines = 20, .ownAtReport = 10},
@@ -152,38 +152,38 @@
     BOOST_TEST(routing::estimateInFlight(7, 3, {}) == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(loadBook_spokenAndHeartbeats_theNewerCountsAndIsReckonedForward)
+BOOST_AUTO_TEST_CASE(loadTable_reportsAndHeartbeats_newerOneIsExtrapolated)
 {
     const auto at = [](int milliseconds) {
         return kernel::Instant(kernel::Duration(std::chrono::milliseconds(milliseconds)));
     };
     constexpr membership::ShortHash Model = 7;
     constexpr std::uint64_t Other = 99;
-    routing::LoadTable book(1s);
+    routing::LoadTable table(1s);
     const std::vector<routing::KnownLoad> engines = {
             {1, 6, 0}, {2, 4, 0}, {3, 5, Other}, {4, 5, Other}};
-    // Nothing past is known: the gain is counted from nothing.
-    BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 10U + 10U);
-    book.noteHeartbeat({{1, 5}, {2, 3}}, 1);
-    BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 10U + 2U);
-    book.noteReport(Other, Model, 20, 9, at(4500));
-    BOOST_TEST(book.inFlight(Model, engines, at(5000)) == 10U + 20U + 1U);
-    // A word older than the heartbeats no longer counts; nor does one on another model.
-    BOOST_TEST(book.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
-    book.noteReport(Other, Model + 1, 70, 9, at(5600));
-    BOOST_TEST(book.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
+    // No past heartbeat is known, so the whole own load counts as gained.
+    BOOST_TEST(table.inFlight(Model, engines, at(5000)) == 10U + 10U + 10U);
+    table.noteHeartbeat({{1, 5}, {2, 3}}, 1);
+    BOOST_TEST(table.inFlight(Model, engines, at(5000)) == 10U + 10U + 2U);
+    table.noteReport(Other, Model, 20, 9, at(4500));
+    BOOST_TEST(table.inFlight(Model, engines, at(5000)) == 10U + 20U + 1U);
+    // A report older than the heartbeats no longer counts, nor does one on another model.
+    BOOST_TEST(table.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
+    table.noteReport(Other, Model + 1, 70, 9, at(5600));
+    BOOST_TEST(table.inFlight(Model, engines, at(5600)) == 10U + 10U + 2U);
 }
 
-// Against looking at all that was ever noted.
-BOOST_AUTO_TEST_CASE(permitHistory_randomBeats_agreesWithTheWholeHistory)
+// Compared with a search through all entries ever noted.
+BOOST_AUTO_TEST_CASE(permitHistory_randomHeartbeats_agreesWithTheWholeHistory)
 {
     std::mt19937_64 random(17);
     constexpr kernel::Duration Kept = 2s;
     routing::PermitHistory history(Kept);
     std::vector<std::pair<kernel::Instant, std::uint32_t>> all;
     kernel::Instant now(1000s);
-    for (int beat = 0; beat < 3000; ++beat) {
-        // Mostly in time, now and then after a standstill.
+    for (int heartbeat = 0; heartbeat < 3000; ++heartbeat) {
+        // Mostly on time, occasionally after a pause.
         now += 1ms * (random() % 20 == 0 ? 900 : 10 + random() % 100);
         const auto permits = static_cast<std::uint32_t>(random() % 30);
         history.note({{7, permits}}, now);
@@ -262,7 +262,7 @@
     BOOST_TEST(order.front().engine == candidates[2].engine);
 }
 
-BOOST_FIXTURE_TEST_CASE(placeChat_warmAndHolderHasRoom_goesToHolder, PoolFixture)
+BOOST_FIXTURE_TEST_CASE(placeChat_warmAndHolderHasCapacity_goesToHolder, PoolFixture)
 {
     const Holder holder{pool[5].engine, 1};
     const auto order = routing::placeChat(candidates, holder, pool, view);
@@ -307,9 +307,9 @@
     BOOST_TEST((routing::readChatToken(token, 5, both) == Holder{77, 3}));
     BOOST_TEST(!routing::readChatToken(token, 6, both).has_value());
     BOOST_TEST(!routing::readChatToken(token, 5, std::span(&other, 1)).has_value());
-    for (std::size_t place = 0; place < token.size(); ++place) {
+    for (std::size_t position = 0; position < token.size(); ++position) {
         std::string changed = token;
-        changed[place] = changed[place] == '0' ? '1' : '0';
+        changed[position] = changed[position] == '0' ? '1' : '0';
         BOOST_TEST(!routing::readChatToken(changed, 5, both).has_value());
     }
     BOOST_TEST(!routing::readChatToken("", 5, both).has_value());
