--- a/src/admission/DrainRate.cpp
+++ b/src/admission/DrainRate.cpp
@@ -12,8 +12,8 @@
 
 constexpr Duration Window = 1s;
 constexpr double HalfLifeSeconds = 5;
-constexpr double LeastSeconds = 1;
-constexpr double MostSeconds = 60;
+constexpr double MinSeconds = 1;
+constexpr double MaxSeconds = 60;
 constexpr double Jitter = 0.5;
 constexpr double MicrosPerSecond = 1e6;
 
@@ -40,11 +40,11 @@
 Duration DrainRate::retryDelay(Instant now, std::mt19937_64 &random)
 {
     roll(now);
-    // Those refused in a second need as many places to become free before all of them fit.
+    // The callers refused in a second all fit only after as many requests have ended.
     const double waiting = std::max(refusals_, refusalRate_) + 1;
     const double drain = std::max(endRate_, ends_);
-    const double base = drain > 0 ? waiting / drain : MostSeconds / 4;
-    const double bounded = std::clamp(base, LeastSeconds, MostSeconds);
+    const double base = drain > 0 ? waiting / drain : MaxSeconds / 4;
+    const double bounded = std::clamp(base, MinSeconds, MaxSeconds);
     const double spread = std::uniform_real_distribution<double>(0, Jitter)(random);
     return Duration(static_cast<std::int64_t>(bounded * (1 + spread) * MicrosPerSecond));
 }
--- a/src/admission/DrainRate.h
+++ b/src/admission/DrainRate.h
@@ -1,6 +1,6 @@
 /** \file
- * When a refused caller should come back: worked out from how fast places become free, spread by
- * chance so that those refused together don't return together.
+ * Computes when a refused caller should retry: from the rate at which capacity becomes free, with
+ * random jitter, so that callers refused together don't return together.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace limereel::admission {
 
-/** The smoothed rate at which requests end, and the advice that follows from it. */
+/** The smoothed rate at which requests end, and the retry delay that follows from it. */
 class DrainRate
 {
 public:
@@ -22,23 +22,23 @@
     /** Counts the end of one request. */
     void noteEnd(kernel::Instant now);
 
-    /** Counts a refusal; those waiting to come back lengthen the advice. */
+    /** Counts a refusal. Refused callers that will return lengthen the retry delay. */
     void noteRefusal(kernel::Instant now);
 
-    /** Ends a second, smoothed. */
+    /** Smoothed number of requests that end per second. */
     double perSecond(kernel::Instant now);
 
-    /** When to come back: 1 s to 60 s, with up to a half more by chance. */
+    /** Time until the caller should retry: 1 s to 60 s, plus a random part of up to half of it. */
     kernel::Duration retryDelay(kernel::Instant now, std::mt19937_64 &random);
 
 private:
     void roll(kernel::Instant now);
 
     kernel::Instant since_;
-    double ends_ = 0;        ///< In the running window.
-    double refusals_ = 0;    ///< In the running window.
-    double endRate_ = 0;     ///< Smoothed, a second.
-    double refusalRate_ = 0; ///< Smoothed, a second.
+    double ends_ = 0;        ///< In the current window.
+    double refusals_ = 0;    ///< In the current window.
+    double endRate_ = 0;     ///< Smoothed, per second.
+    double refusalRate_ = 0; ///< Smoothed, per second.
     bool measured_ = false;
 };
 
--- a/src/admission/FairShare.cpp
+++ b/src/admission/FairShare.cpp
@@ -11,8 +11,8 @@
     if (view.taken + reserved < view.limit) {
         return true;
     }
-    // An organisation that is alone could take the rest, but then the first quiet one to come would
-    // find nothing. So one more is always counted.
+    // One more organisation than is present is always counted. Otherwise one that is alone could
+    // take all the rest, and the next one to arrive would find no slot.
     const std::uint32_t sharers = view.organisations + 1;
     const std::uint32_t share = std::max<std::uint32_t>(1, view.limit / sharers);
     return view.own < share;
--- a/src/admission/QuotaTable.cpp
+++ b/src/admission/QuotaTable.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double SecondsPerMinute = 60;
-constexpr double BurstPart = 1.0 / 6; ///< Of a minute's requests, that may begin at once.
+constexpr double BurstPart = 1.0 / 6; ///< Part of a minute's requests that may begin at once.
 constexpr Duration ForgetAfter = 600s;
 
 } // namespace
@@ -45,12 +45,12 @@
 
 bool QuotaTable::giveBack(std::uint64_t organisation, std::uint64_t request, Instant now)
 {
-    const auto place = quotas_.find(organisation);
-    if (place == quotas_.end()) {
+    const auto found = quotas_.find(organisation);
+    if (found == quotas_.end()) {
         return false;
     }
-    if (place->second.ledger.giveBack(request)) {
-        place->second.drain.noteEnd(now);
+    if (found->second.ledger.giveBack(request)) {
+        found->second.drain.noteEnd(now);
     }
     return true;
 }
@@ -67,22 +67,22 @@
         expired += own.ledger.expire(now);
     }
     std::erase_if(quotas_, [now](const auto &entry) {
-        return entry.second.ledger.inFlight() == 0 && now - entry.second.used > ForgetAfter;
+        return entry.second.ledger.inFlight() == 0 && now - entry.second.lastUsed > ForgetAfter;
     });
     return expired;
 }
 
 QuotaTable::Quota &QuotaTable::quota(std::uint64_t organisation, Instant now)
 {
-    const auto place = quotas_.find(organisation);
+    const auto found = quotas_.find(organisation);
     Quota &own =
-            place != quotas_.end()
-                    ? place->second
+            found != quotas_.end()
+                    ? found->second
                     : quotas_.try_emplace(organisation,
                                           Quota{routing::PermitLedger(policy_, now, false),
                                                 TokenBucket(0, 1, now), DrainRate(now), 0, now})
                               .first->second;
-    own.used = now;
+    own.lastUsed = now;
     return own;
 }
 
--- a/src/admission/QuotaTable.h
+++ b/src/admission/QuotaTable.h
@@ -1,9 +1,9 @@
 /** \file
- * The limits of organisations, as the owner of their quotas counts them: requests at once and
- * requests a minute in the hall.
+ * Enforces the limits of organisations at the box that owns their quotas: concurrent requests and
+ * requests per minute in the hall.
  *
- * A quota is a resource with places, so its permits are leases like an engine's. A new owner
- * doesn't settle: the limits are for fairness, and the renewals fill in what runs.
+ * A quota is a resource with slots, so its permits are leases like those of an engine. A new owner
+ * has no settle time: the limits serve fairness, and renewals soon restore the count of what runs.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace limereel::admission {
 
-/** What an organisation may have in one hall. */
+/** Limits of one organisation in one hall. */
 struct QuotaLimits
 {
     std::uint32_t maxConcurrent = 1;
@@ -26,14 +26,14 @@
     auto operator<=>(const QuotaLimits &) const = default;
 };
 
-/** The answer to an ask for a place. */
+/** The answer to a permit request on a quota. */
 struct QuotaAnswer
 {
     routing::GrantResult result = routing::GrantResult::Full;
-    kernel::Duration retryDelay{}; ///< Of a refusal.
+    kernel::Duration retryDelay{}; ///< Set in a refusal.
 };
 
-/** All quotas that a box owns; made when first asked for. */
+/** All quotas that a box owns; a quota is created on first use. */
 class QuotaTable
 {
 public:
@@ -51,7 +51,10 @@
 
     void renew(std::uint64_t organisation, const routing::PermitRequest &ask, kernel::Instant now);
 
-    /** Drops what wasn't renewed in time, and quotas that nobody uses. \return how many permits. */
+    /**
+     * Ends permits that weren't renewed in time and drops unused quotas. \return how many permits
+     * ended.
+     */
     std::size_t expire(kernel::Instant now);
 
 private:
@@ -61,7 +64,7 @@
         TokenBucket starts;
         DrainRate drain;
         std::uint32_t perMinute = 0;
-        kernel::Instant used;
+        kernel::Instant lastUsed;
     };
 
     Quota &quota(std::uint64_t organisation, kernel::Instant now);
--- a/src/admission/TokenBucket.cpp
+++ b/src/admission/TokenBucket.cpp
@@ -41,11 +41,11 @@
 
 void TokenBucket::fill(Instant now)
 {
-    if (now <= filled_) {
+    if (now <= lastFilled_) {
         return;
     }
-    tokens_ = std::min(burst_, tokens_ + rate_ * kernel::seconds(now - filled_));
-    filled_ = now;
+    tokens_ = std::min(burst_, tokens_ + rate_ * kernel::seconds(now - lastFilled_));
+    lastFilled_ = now;
 }
 
 } // namespace limereel::admission
--- a/src/admission/TokenBucket.h
+++ b/src/admission/TokenBucket.h
@@ -1,6 +1,6 @@
 /** \file
- * A token bucket on injected time, for an organisation's requests a minute and for the calls that
- * a router may make on the platform.
+ * A token bucket that is passed the time, for an organisation's requests per minute and for the
+ * calls that a router may make to the platform.
  */
 #pragma once
 
@@ -8,25 +8,28 @@
 
 namespace limereel::admission {
 
-/** Fills at a rate up to a burst; a call takes one token or is told when to come back. */
+/**
+ * Fills at a constant rate up to a burst. Each call takes one token; if none is left, wait() says
+ * when to retry.
+ */
 class TokenBucket
 {
 public:
-    /** \param rate tokens a second. \param burst the most it holds; it starts full. */
+    /** \param rate tokens per second. \param burst the most tokens it holds; it starts full. */
     TokenBucket(double rate, double burst, kernel::Instant now)
         : rate_(rate)
         , burst_(burst)
         , tokens_(burst)
-        , filled_(now)
+        , lastFilled_(now)
     {
     }
 
     bool take(kernel::Instant now);
 
-    /** How long until one token is there. */
+    /** Time until one token is available. */
     kernel::Duration wait(kernel::Instant now);
 
-    /** Changes the rate from now on; what was saved stays, up to the new burst. */
+    /** Changes the rate from now on; tokens already collected are kept, up to the new burst. */
     void setRate(double rate, double burst, kernel::Instant now);
 
 private:
@@ -35,7 +38,7 @@
     double rate_;
     double burst_;
     double tokens_;
-    kernel::Instant filled_;
+    kernel::Instant lastFilled_;
 };
 
 } // namespace limereel::admission
--- a/src/placement/FencedLease.cpp
+++ b/src/placement/FencedLease.cpp
@@ -6,14 +6,14 @@
 
 void FencedLease::onRead(const std::optional<LeaseRecord> &record, Instant answered)
 {
-    const bool changed = record != seen_ || !seenSince_;
-    seen_ = record;
+    const bool changed = record != lastRead_ || !unchangedSince_;
+    lastRead_ = record;
     if (changed) {
-        seenSince_ = answered;
+        unchangedSince_ = answered;
     }
     if (sent_ && record == sent_) {
-        // The answer was lost, the write was not. The lease counts from when it was sent, as the
-        // others may have seen it ever since.
+        // The write took effect although its answer was lost. The lease counts from the time it was
+        // sent, as other boxes may have read the record since then.
         onWritten();
     }
     if (!isOurs()) {
@@ -24,10 +24,10 @@
 
 std::optional<LeaseRecord> FencedLease::toWrite(Instant now) const
 {
-    if (!seenSince_) {
+    if (!unchangedSince_) {
         return std::nullopt;
     }
-    if (!seen_) {
+    if (!lastRead_) {
         return LeaseRecord{self_, 1, 1};
     }
     if (isOurs()) {
@@ -35,14 +35,14 @@
         if (!due) {
             return std::nullopt;
         }
-        // A lapsed lease is taken anew, with a new token: orders may have been given by others
+        // An expired lease is taken again with a new token, as other boxes may have sent orders
         // since.
         const bool lapsed = !heldUntil_ || now >= *heldUntil_;
-        return LeaseRecord{self_, seen_->token + (lapsed ? 1 : 0), seen_->renewal + 1};
+        return LeaseRecord{self_, lastRead_->token + (lapsed ? 1 : 0), lastRead_->renewal + 1};
     }
-    const bool quiet = now - *seenSince_ >= policy_.length;
-    return quiet ? std::optional(LeaseRecord{self_, seen_->token + 1, seen_->renewal + 1})
-                 : std::nullopt;
+    const bool expired = now - *unchangedSince_ >= policy_.length;
+    return expired ? std::optional(LeaseRecord{self_, lastRead_->token + 1, lastRead_->renewal + 1})
+                   : std::nullopt;
 }
 
 void FencedLease::onSend(const LeaseRecord &record, Instant now)
@@ -56,8 +56,8 @@
     if (heldToken_ != sent_->token) {
         heldSince_ = sentAt_;
     }
-    seen_ = sent_;
-    seenSince_ = sentAt_;
+    lastRead_ = sent_;
+    unchangedSince_ = sentAt_;
     heldToken_ = sent_->token;
     heldUntil_ = sentAt_ + policy_.length;
     sent_.reset();
--- a/src/placement/FencedLease.h
+++ b/src/placement/FencedLease.h
@@ -1,13 +1,14 @@
 /** \file
- * Who may give orders: the holder of a lease on the platform, as long as its own clock allows.
+ * Decides whether this box may send orders to engines: only the holder of a lease on the platform
+ * may, and only until the lease has expired by the holder's own clock.
  *
- * The holder counts its lease from the moment before it asked, on its own monotonic clock, and
- * checks the deadline immediately before each order: one that was paused finds its lease lapsed,
- * whatever it remembers. Each order carries the lease's token, which grows with each new holder,
- * and servers that check it refuse an older one. For servers that don't check, a new holder waits:
- * a successor can only take the lease after it ended, and then holds back for the guard, which must
- * exceed the longest time an order spends between the check and the server (see
- * docs/interfaces/engine.md).
+ * The holder counts its lease from the moment before it sent its write, on its own monotonic clock,
+ * and checks the expiry immediately before each order, so a box that was paused finds its lease
+ * expired. Each order carries the lease's token, which grows with each new holder; servers that
+ * check tokens refuse an order with an older one. For servers that don't check tokens a new holder
+ * waits: it can take the lease only after the previous one has expired, and then sends no orders
+ * for the guard time. This must exceed the longest time that an order takes from the check to the
+ * server (see docs/interfaces/engine.md).
  */
 #pragma once
 
@@ -19,12 +20,12 @@
 
 namespace limereel::placement {
 
-/** The lease as it lies on the platform. */
+/** The lease as stored on the platform. */
 struct LeaseRecord
 {
     std::string holder;        ///< Name and incarnation of the box.
-    std::uint64_t token = 0;   ///< One more with each new holder.
-    std::uint64_t renewal = 0; ///< Grows with each renewal; a change shows that the holder lives.
+    std::uint64_t token = 0;   ///< Increased by one with each new holder.
+    std::uint64_t renewal = 0; ///< Grows with each renewal, so a change shows a live holder.
 
     auto operator<=>(const LeaseRecord &) const = default;
 };
@@ -34,11 +35,13 @@
 {
     kernel::Duration length = 15s;
     kernel::Duration renewEvery = 5s;
-    kernel::Duration guard = 10s; ///< Before orders to servers that don't check tokens.
+    kernel::Duration guard = 10s; ///< Wait before orders to servers that don't check tokens.
 };
 
-/** One box's view of the lease. Pure: what it reads and writes on the platform is handed in and
- * out. */
+/**
+ * One box's view of the lease. Does no I/O: what was read from the platform is passed in, what is
+ * to be written is returned.
+ */
 class FencedLease
 {
 public:
@@ -49,41 +52,44 @@
     }
 
     /**
-     * Takes the record as read (nothing: there is none) by a call that was answered at \a answered.
-     * What another holder wrote took effect before then, so its lease has ended once a whole length
-     * has passed since.
+     * Takes the record that a call read (nothing: none exists), whose answer arrived at \a
+     * answered. A write by another holder took effect before then, so that holder's lease has
+     * expired once a full lease length has passed since.
      */
     void onRead(const std::optional<LeaseRecord> &record, kernel::Instant answered);
 
     /**
-     * The record to write now, under the condition that the one last read still stands: a
-     * renewal, or a takeover once the record has not changed for a whole lease. Nothing if it isn't
-     * this box's turn.
+     * The record to write now, on condition that the stored record is still the one last read: a
+     * renewal, or a takeover once the record has not changed for a full lease length. Nothing if
+     * this box has nothing to write.
      */
     std::optional<LeaseRecord> toWrite(kernel::Instant now) const;
 
-    /** Notes that \a record is sent at \a now. If the answer is lost, the next read shows whether
-     * it took effect. */
+    /**
+     * Notes that \a record is sent at \a now. If the answer is lost, the next read shows whether
+     * the write took effect.
+     */
     void onSend(const LeaseRecord &record, kernel::Instant now);
 
-    /** Takes the answer that what was sent last has taken effect. */
+    /** Notes that the write sent last has taken effect. */
     void onWritten();
 
-    /** Forgets a held lease, so that a successor needn't wait for this box to try again. */
+    /** Drops a held lease, so that a successor needn't wait for this box to try again. */
     void giveUp() { heldUntil_.reset(); }
 
-    /** The token to put on an order at \a now; nothing if this box may give none. */
+    /** The token for an order at \a now; nothing if this box may not send one. */
     std::optional<std::uint64_t> tokenFor(bool serverChecksToken, kernel::Instant now) const;
 
-    const std::optional<LeaseRecord> &lastRead() const { return seen_; }
+    const std::optional<LeaseRecord> &lastRead() const { return lastRead_; }
 
 private:
-    bool isOurs() const { return seen_ && seen_->holder == self_; }
+    bool isOurs() const { return lastRead_ && lastRead_->holder == self_; }
 
     LeasePolicy policy_;
     std::string self_;
-    std::optional<LeaseRecord> seen_;
-    std::optional<kernel::Instant> seenSince_; ///< When the record was first seen as it is.
+    std::optional<LeaseRecord> lastRead_;
+    std::optional<kernel::Instant>
+            unchangedSince_; ///< When the current record was first read, or sent by this box.
     std::optional<LeaseRecord> sent_;
     kernel::Instant sentAt_;
     std::optional<kernel::Instant> heldUntil_;
--- a/src/placement/LeaseJson.h
+++ b/src/placement/LeaseJson.h
@@ -1,5 +1,5 @@
 /** \file
- * The lease as it lies on the platform.
+ * JSON form of the lease as stored on the platform.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 /** The JSON text of \a record. */
 std::string toJson(const LeaseRecord &record);
 
-/** The record in \a json; nothing if it is none. Never throws. */
+/** The record in \a json; nothing if it is not a valid record. Never throws. */
 std::optional<LeaseRecord> leaseFromJson(std::string_view json);
 
 } // namespace limereel::placement
--- a/src/placement/Planner.cpp
+++ b/src/placement/Planner.cpp
@@ -31,7 +31,7 @@
     return copies;
 }
 
-std::size_t loadsUnderWay(const Engines &engines)
+std::size_t loadsInProgress(const Engines &engines)
 {
     std::size_t count = 0;
     for (const EngineView &engine : engines) {
@@ -41,9 +41,9 @@
     return count;
 }
 
-// The emptiest engine with room, least loaded first; ties by rendezvous, so that a repeated plan
-// agrees.
-EngineView *placeFor(Engines &engines, const std::string &model)
+// Of the engines with free capacity, the one that holds the fewest models and then has the least
+// load. Ties are broken by rendezvous hashing, so that a repeated plan chooses the same engine.
+EngineView *findEngineFor(Engines &engines, const std::string &model)
 {
     EngineView *best = nullptr;
     const auto rank = [&model](const EngineView &engine) {
@@ -60,7 +60,7 @@
     return best;
 }
 
-double use(const ModelDemand &demand, std::size_t copies)
+double utilisation(const ModelDemand &demand, std::size_t copies)
 {
     return copies == 0 ? 1 : demand.inFlight / (static_cast<double>(copies) * demand.slots);
 }
@@ -69,17 +69,17 @@
 {
     const Copies copies = copiesOf(engines, demand.model);
     const bool more = copies.ready >= 2 && copies.ready > demand.minCopies;
-    return more && use(demand, copies.ready - 1) < policy.lowMark;
+    return more && utilisation(demand, copies.ready - 1) < policy.lowMark;
 }
 
-/** A ready copy that may go. */
+/** A ready copy that can be unloaded. */
 struct Victim
 {
     EngineView *engine = nullptr;
     std::string model;
 };
 
-// Of all copies that can be spared, the one that the fewest requests would miss.
+// Of all copies that can be spared, the one whose engine has the fewest requests in flight.
 Victim findVictim(Engines &engines, const std::vector<ModelDemand> &demands,
                   const PlanPolicy &policy, const std::string &wanted)
 {
@@ -103,24 +103,24 @@
 
 } // namespace
 
-std::vector<Order> Planner::plan(const Engines &seen, const std::vector<ModelDemand> &demands,
+std::vector<Order> Planner::plan(const Engines &observed, const std::vector<ModelDemand> &demands,
                                  Instant now)
 {
-    Engines engines = seen;
+    Engines engines = observed;
     std::vector<Order> orders;
-    std::size_t loads = loadsUnderWay(engines);
+    std::size_t loads = loadsInProgress(engines);
     for (const ModelDemand &demand : demands) {
         if (!wantsMore(demand, engines, now) || loads >= policy_.loadsAtOnce) {
             continue;
         }
-        if (EngineView *const engine = placeFor(engines, demand.model); engine != nullptr) {
+        if (EngineView *const engine = findEngineFor(engines, demand.model); engine != nullptr) {
             engine->models[demand.model] = false;
             orders.push_back({OrderKind::Load, engine->name, demand.model});
             highSince_.erase(demand.model);
             ++loads;
             continue;
         }
-        // The copy that goes makes the room that the next plan finds.
+        // Unloading a copy frees the capacity that the next plan uses.
         const Victim victim = findVictim(engines, demands, policy_, demand.model);
         if (victim.engine != nullptr) {
             victim.engine->models.erase(victim.model);
@@ -137,7 +137,7 @@
     if (copies < demand.minCopies) {
         return true;
     }
-    if (use(demand, copies) <= policy_.highMark) {
+    if (utilisation(demand, copies) <= policy_.highMark) {
         highSince_.erase(demand.model);
         return false;
     }
--- a/src/placement/Planner.h
+++ b/src/placement/Planner.h
@@ -1,11 +1,12 @@
 /** \file
- * Which engines should hold which models, as orders from what is to what demand asks for.
+ * Plans which engines hold which models: computes the orders that bring the engines closer to what
+ * demand requires.
  *
- * Loading a model takes seconds to minutes and the weight store is rate-limited, so the plan moves
- * as little as it can. A copy is added when a model has fewer than it must, or when its copies have
- * been over the high mark for a while. A copy is taken away only to make room for such a one, where
- * no engine has room, and never the last ready one: weights that nobody needs room for stay where
- * they are.
+ * Loading a model takes seconds to minutes and the weight store is rate-limited, so the plan
+ * changes as little as it can. It adds a copy when a model has fewer than its minimum, or when the
+ * utilisation of its copies has been above the high mark for a while. It unloads a copy only to
+ * free capacity for such a load when no engine has any left, and never the last ready copy. Weights
+ * whose capacity is not needed stay loaded.
  */
 #pragma once
 
@@ -19,13 +20,13 @@
 
 namespace limereel::placement {
 
-/** One engine as the plan sees it. */
+/** One engine as the planner sees it. */
 struct EngineView
 {
     std::string name;
-    bool usable = true;                 ///< Answers and isn't leaving.
-    std::size_t modelCapacity = 1;      ///< Models that fit at once.
-    std::map<std::string, bool> models; ///< What it holds; true once ready.
+    bool usable = true;                 ///< It answers and isn't leaving.
+    std::size_t modelCapacity = 1;      ///< Number of models that fit at once.
+    std::map<std::string, bool> models; ///< Models it holds; true once ready.
     std::uint32_t inFlight = 0;
 
     auto operator<=>(const EngineView &) const = default;
@@ -35,14 +36,14 @@
 struct ModelDemand
 {
     std::string model;
-    double inFlight = 0; ///< Smoothed; running and refused for want of a place.
+    double inFlight = 0; ///< Smoothed; requests running, or refused for lack of capacity.
     std::uint32_t minCopies = 1;
-    std::uint32_t slots = 1; ///< Places on one engine.
+    std::uint32_t slots = 1; ///< Requests that one engine runs at once.
 
     auto operator<=>(const ModelDemand &) const = default;
 };
 
-/** What an order asks for. */
+/** What an order tells the engine to do. */
 enum class OrderKind : std::uint8_t { Load, Unload };
 
 /** One order to one engine. */
@@ -55,16 +56,17 @@
     auto operator<=>(const Order &) const = default;
 };
 
-/** Settings of the plan. */
+/** Settings of the planner. */
 struct PlanPolicy
 {
-    double highMark = 0.7; ///< Part of a model's places in use above which it wants a copy more.
-    double lowMark = 0.3;  ///< Part in use, after taking one away, below which it can spare one.
-    kernel::Duration sustained = 20s; ///< How long a wish must last before it is followed.
-    std::size_t loadsAtOnce = 2;      ///< Bound by the weight store's rate.
+    double highMark = 0.7; ///< Part of a model's slots in use above which another copy is wanted.
+    double lowMark = 0.3;  ///< Part of the slots in use, after removing a copy, below which a copy
+                           ///< can be spared.
+    kernel::Duration sustained = 20s; ///< Time above the high mark before a copy is added.
+    std::size_t loadsAtOnce = 2;      ///< Most loads at once; limited by the weight store's rate.
 };
 
-/** The plan of one hall. */
+/** The planner of one hall. */
 class Planner
 {
 public:
@@ -73,7 +75,9 @@
     {
     }
 
-    /** The orders to give now. Called again and again; an order not yet carried out isn't doubled.
+    /**
+     * The orders to send now. Meant to be called periodically; an order that an engine is still
+     * carrying out isn't repeated.
      */
     std::vector<Order> plan(const std::vector<EngineView> &engines,
                             const std::vector<ModelDemand> &demands, kernel::Instant now);
@@ -84,7 +88,7 @@
 
     PlanPolicy policy_;
     std::map<std::string, kernel::Instant>
-            highSince_; ///< By model: since when it is over the high mark.
+            highSince_; ///< By model: since when its utilisation has been above the high mark.
 };
 
 } // namespace limereel::placement
--- a/test/correctness/AdmissionTest.cpp
+++ b/test/correctness/AdmissionTest.cpp
@@ -1,4 +1,4 @@
-// Limits of organisations, rates, and when a refused caller should come back.
+// Limits of organisations, rates, and the delay after which a refused caller should retry.
 
 #include "admission/QuotaTable.h"
 
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionTest)
 
-BOOST_FIXTURE_TEST_CASE(quota_atOnce_isPerOrganisationAndFreedByReturnOrLapse, QuotaFixture)
+BOOST_FIXTURE_TEST_CASE(quota_maxConcurrent_isPerOrganisationAndFreedByReturnOrExpiry, QuotaFixture)
 {
     const QuotaLimits two{.maxConcurrent = 2, .perMinute = 0};
     BOOST_TEST((ask(1, two, at(0ms)) == GrantResult::Granted));
@@ -50,7 +50,7 @@
     BOOST_TEST(!quotas.giveBack(99, 1, at(12s)));
 }
 
-BOOST_FIXTURE_TEST_CASE(quota_perMinute_holdsOverAnyMinute, QuotaFixture)
+BOOST_FIXTURE_TEST_CASE(quota_perMinute_isNotExceeded, QuotaFixture)
 {
     const QuotaLimits limits{.maxConcurrent = 100000, .perMinute = 60};
     int granted = 0;
@@ -60,7 +60,7 @@
                         ? 1
                         : 0;
     }
-    // A minute's requests, and the burst that may begin at once.
+    // A minute's requests, plus the burst that may begin at once.
     BOOST_TEST(granted <= 60 + 10);
     BOOST_TEST(granted >= 60);
 }
@@ -83,7 +83,7 @@
     BOOST_TEST(bucket.take(at(250ms)));
 }
 
-BOOST_AUTO_TEST_CASE(drainRate_moreRefusals_lengthensTheAdviceWithinItsBounds)
+BOOST_AUTO_TEST_CASE(drainRate_moreRefusals_lengthenTheRetryDelayWithinItsBounds)
 {
     std::mt19937_64 random(1);
     DrainRate drain(at(0ms));
@@ -92,8 +92,8 @@
             drain.noteEnd(at(std::chrono::seconds(second)));
         }
     }
-    const auto calm = drain.retryDelay(at(30s), random);
-    BOOST_TEST((calm >= kernel::Duration(1s) && calm <= kernel::Duration(1500ms)));
+    const auto shortest = drain.retryDelay(at(30s), random);
+    BOOST_TEST((shortest >= kernel::Duration(1s) && shortest <= kernel::Duration(1500ms)));
     for (int refusal = 0; refusal < 100; ++refusal) {
         drain.noteRefusal(at(30s));
     }
--- a/test/correctness/PlacementTest.cpp
+++ b/test/correctness/PlacementTest.cpp
@@ -1,4 +1,4 @@
-// Who may give orders, and which orders: fenced leases, the last ready copy, damped changes.
+// Fenced leases and the orders of the planner: the last ready copy stays, changes are damped.
 
 #include "placement/FencedLease.h"
 #include "placement/LeaseJson.h"
@@ -29,8 +29,8 @@
 
 constexpr placement::LeasePolicy Lease{.length = 15s, .renewEvery = 5s, .guard = 10s};
 
-/** The platform's object, and boxes that come and go and are paused anywhere between two steps. */
-struct LeaseWorld
+/** The platform's object, and boxes that may be paused between any two steps. */
+struct SharedLease
 {
     std::optional<LeaseRecord> record;
     std::vector<FencedLease> boxes{{Lease, "a"}, {Lease, "b"}, {Lease, "c"}};
@@ -53,17 +53,17 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementTest)
 
-BOOST_AUTO_TEST_CASE(lease_randomPausesAndLostAnswers_neverTwoHoldersByTheirOwnClocks)
+BOOST_AUTO_TEST_CASE(lease_randomPausesAndLostAnswers_neverTwoHoldersAtOnce)
 {
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
         std::mt19937_64 random(seed);
-        LeaseWorld world;
+        SharedLease shared;
         Instant now = at(0ms);
-        std::uint64_t greatestToken = 0;
+        std::uint64_t maxToken = 0;
         for (int step = 0; step < 400; ++step) {
-            FencedLease &box = world.boxes[random() % world.boxes.size()];
-            // The read shows what stood at any moment of the call.
-            const auto read = world.record;
+            FencedLease &box = shared.boxes[random() % shared.boxes.size()];
+            // The read returns the record of some moment during the call.
+            const auto read = shared.record;
             now += kernel::Duration(random() % 4000000);
             box.onRead(read, now);
             const auto wanted = box.toWrite(now);
@@ -72,7 +72,7 @@
                 now += kernel::Duration(random() % 1000000);
                 const bool arrives = random() % 6 != 0;
                 if (arrives) {
-                    world.record = wanted;
+                    shared.record = wanted;
                     now += kernel::Duration(random() % 1000000);
                 }
                 if (arrives && random() % 4 != 0) {
@@ -80,11 +80,11 @@
                 }
             }
             int holders = 0;
-            for (const FencedLease &each : world.boxes) {
+            for (const FencedLease &each : shared.boxes) {
                 if (const auto token = each.tokenFor(true, now)) {
                     ++holders;
-                    BOOST_TEST(*token >= greatestToken);
-                    greatestToken = *token;
+                    BOOST_TEST(*token >= maxToken);
+                    maxToken = *token;
                 }
             }
             BOOST_TEST(holders <= 1);
@@ -92,7 +92,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(lease_holderPausedPastItsLease_mayGiveNoOrderWhenItWakes)
+BOOST_AUTO_TEST_CASE(lease_holderPausedPastItsLease_maySendNoOrder)
 {
     FencedLease paused(Lease, "a");
     paused.onRead(std::nullopt, at(0ms));
@@ -102,7 +102,7 @@
     BOOST_TEST(!paused.tokenFor(true, at(15s)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(lease_newHolder_waitsTheGuardBeforeServersThatCheckNoToken)
+BOOST_AUTO_TEST_CASE(lease_newHolder_waitsForGuardIfServersDontCheckTokens)
 {
     FencedLease box(Lease, "b");
     box.onRead(LeaseRecord{"a", 4, 9}, at(0ms));
@@ -117,15 +117,15 @@
     BOOST_TEST(box.tokenFor(false, at(25s)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(lease_ownLapsed_isTakenWithANewToken)
+BOOST_AUTO_TEST_CASE(lease_ownExpired_isTakenWithANewToken)
 {
     FencedLease box(Lease, "a");
     box.onRead(std::nullopt, at(0ms));
     box.onSend(*box.toWrite(at(0ms)), at(0ms));
     box.onWritten();
-    const auto again = box.toWrite(at(20s));
-    BOOST_REQUIRE(again.has_value());
-    BOOST_TEST(again->token == 2U);
+    const auto renewed = box.toWrite(at(20s));
+    BOOST_REQUIRE(renewed.has_value());
+    BOOST_TEST(renewed->token == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(leaseJson_anyText_neverThrows)
@@ -145,7 +145,7 @@
     BOOST_TEST((orders == std::vector<Order>{{OrderKind::Load, "e2", "b"}}));
 }
 
-BOOST_AUTO_TEST_CASE(plan_highDemand_isFollowedOnlyOnceItLasts)
+BOOST_AUTO_TEST_CASE(plan_highDemand_addsACopyOnlyOnceSustained)
 {
     Planner planner(Plan);
     const std::vector<EngineView> engines = {engine("e1", {{"a", true}}), engine("e2", {})};
@@ -160,7 +160,7 @@
     BOOST_TEST(planner.plan(engines, busy, at(41s)).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(plan_idleCopiesAndNobodyNeedsRoom_areLeftWhereTheyAre)
+BOOST_AUTO_TEST_CASE(plan_idleCopiesAndCapacityNotNeeded_areKept)
 {
     Planner planner(Plan);
     const std::vector<EngineView> engines = {
@@ -172,7 +172,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(plan_newModelAndNoRoom_takesTheLeastMissedSpareCopyAway)
+BOOST_AUTO_TEST_CASE(plan_newModelAndNoCapacity_unloadsTheLeastUsedSpareCopy)
 {
     Planner planner(Plan);
     const std::vector<EngineView> engines = {engine("e1", {{"a", true}}, 3),
@@ -198,7 +198,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(plan_manyModelsMissing_loadsAtMostWhatTheWeightStoreGives)
+BOOST_AUTO_TEST_CASE(plan_manyModelsMissing_limitsLoadsInProgress)
 {
     Planner planner(Plan);
     std::vector<EngineView> engines;
@@ -211,7 +211,7 @@
     BOOST_TEST(planner.plan(engines, demands, at(0ms)).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(plan_randomHistories_keepEveryReadyModelReadyAndSettle)
+BOOST_AUTO_TEST_CASE(plan_randomHistories_keepEveryReadyModelReadyAndConverge)
 {
     for (std::uint64_t seed = 0; seed < 100; ++seed) {
         std::mt19937_64 random(seed);
@@ -231,11 +231,11 @@
         for (std::size_t second = 0; second < 600; second += 5) {
             for (const Order &order :
                  planner.plan(engines, demands, at(std::chrono::seconds(second)))) {
-                auto place = std::ranges::find(engines, order.engine, &EngineView::name);
+                auto position = std::ranges::find(engines, order.engine, &EngineView::name);
                 if (order.kind == OrderKind::Load) {
-                    place->models[order.model] = false;
+                    position->models[order.model] = false;
                 } else {
-                    place->models.erase(order.model);
+                    position->models.erase(order.model);
                     const auto ready = std::ranges::count_if(engines, [&](const EngineView &each) {
                         const auto held = each.models.find(order.model);
                         return held != each.models.end() && held->second;
@@ -251,7 +251,7 @@
                 BOOST_TEST(each.models.size() <= each.modelCapacity);
             }
         }
-        // Steady demand: the plan comes to rest and stays there.
+        // With steady demand the plan stops changing.
         BOOST_TEST(lastChange < 400U);
     }
 }
@@ -271,7 +271,7 @@
     BOOST_TEST(fleet.until(served));
 }
 
-BOOST_AUTO_TEST_CASE(service_holderDies_nextOneTakesOverWithAGreaterToken)
+BOOST_AUTO_TEST_CASE(service_holderDies_otherTakesOverWithAGreaterToken)
 {
     support::Fleet fleet;
     fleet.engines("hall-a", 2, {"small"}).routers("hall-a", 2);
@@ -291,7 +291,7 @@
             [&] { return fleet.engine(0).token() >= 2 || fleet.engine(1).token() >= 2; }));
 }
 
-BOOST_AUTO_TEST_CASE(service_platformAway_leaseLapsesAndNoOrdersAreGiven)
+BOOST_AUTO_TEST_CASE(service_platformUnreachable_leaseExpires)
 {
     support::Fleet fleet;
     fleet.engines("hall-a", 2, {"small"}).routers("hall-a", 1);
