--- a/src/membership/BackendHealth.cpp
+++ b/src/membership/BackendHealth.cpp
@@ -6,49 +6,49 @@
 
 namespace {
 
-constexpr int BadsToFall = 2;
-constexpr int MostDoublings = 4;
-constexpr kernel::Duration ForgiveAfter = 300s;
+constexpr int FailuresToOutage = 2;
+constexpr int MaxDoublings = 4;
+constexpr kernel::Duration ResetAfter = 300s;
 
 } // namespace
 
 void BackendHealth::noteProbeSuccess(std::uint32_t incarnation, kernel::Instant now)
 {
-    bads_ = 0;
-    if (usable_ && now - fell_ > ForgiveAfter) {
-        falls_ = 0;
+    failures_ = 0;
+    if (usable_ && now - lastOutage_ > ResetAfter) {
+        outages_ = 0;
     }
     const bool restarted = incarnation_ != 0 && incarnation != incarnation_;
     incarnation_ = incarnation;
     if (usable_ && restarted) {
-        // It fell and came back between two probes.
-        fall(now);
+        // The server restarted between two probes.
+        noteOutage(now);
     }
-    ++goods_;
-    usable_ = usable_ || goods_ >= goodsNeeded();
+    ++successes_;
+    usable_ = usable_ || successes_ >= successesNeeded();
 }
 
 void BackendHealth::noteUnreachable(kernel::Instant now)
 {
-    goods_ = 0;
-    ++bads_;
-    if (usable_ && bads_ >= BadsToFall) {
-        fall(now);
+    successes_ = 0;
+    ++failures_;
+    if (usable_ && failures_ >= FailuresToOutage) {
+        noteOutage(now);
     }
 }
 
-void BackendHealth::fall(kernel::Instant now)
+void BackendHealth::noteOutage(kernel::Instant now)
 {
     usable_ = false;
-    goods_ = 0;
-    ++falls_;
-    fell_ = now;
+    successes_ = 0;
+    ++outages_;
+    lastOutage_ = now;
 }
 
-int BackendHealth::goodsNeeded() const
+int BackendHealth::successesNeeded() const
 {
-    // The first fall is an ordinary restart.
-    const int doublings = std::clamp(falls_ - 1, 0, MostDoublings);
+    // The first outage counts as an ordinary restart.
+    const int doublings = std::clamp(outages_ - 1, 0, MaxDoublings);
     return 1 << doublings;
 }
 
--- a/src/membership/BackendHealth.h
+++ b/src/membership/BackendHealth.h
@@ -1,9 +1,10 @@
 /** \file
- * Whether a backend server is usable, from probes and from what requests met, with flaps damped.
+ * Decides whether a backend server is usable, from probes and from the results of requests, with
+ * flap damping.
  *
  * Two failures in a row make it unusable. One that has flapped must pass more probes in a row
- * before it is used again, twice as many after each further fall, so that a flapping engine doesn't
- * pull its chats to and fro. A stretch of good health wipes the record.
+ * before it is used again, twice as many after each further outage, so that a flapping engine
+ * doesn't move its chats back and forth. A period of good health resets the count of outages.
  */
 #pragma once
 
@@ -17,25 +18,25 @@
 class BackendHealth
 {
 public:
-    /** A probe was answered, by the incarnation \a incarnation. */
+    /** Records that the server's incarnation \a incarnation answered a probe. */
     void noteProbeSuccess(std::uint32_t incarnation, kernel::Instant now);
 
-    /** A probe or a request could not reach it. */
+    /** Records that a probe or a request could not reach the server. */
     void noteUnreachable(kernel::Instant now);
 
     bool usable() const { return usable_; }
     std::uint32_t incarnation() const { return incarnation_; }
 
 private:
-    void fall(kernel::Instant now);
-    int goodsNeeded() const;
+    void noteOutage(kernel::Instant now);
+    int successesNeeded() const;
 
     bool usable_ = false;
     std::uint32_t incarnation_ = 0;
-    int goods_ = 0;
-    int bads_ = 0;
-    int falls_ = 0;
-    kernel::Instant fell_;
+    int successes_ = 0;
+    int failures_ = 0;
+    int outages_ = 0;
+    kernel::Instant lastOutage_;
 };
 
 } // namespace limereel::membership
--- a/src/membership/HeartbeatTable.cpp
+++ b/src/membership/HeartbeatTable.cpp
@@ -12,23 +12,23 @@
 namespace {
 
 constexpr std::int64_t QuartersPerPeriod = 4;
-// A box that runs ticks each period; one that neither ticks nor hears for longer than this stood
-// still. Twice a period leaves room for ticks that come late on a busy machine.
-constexpr std::int64_t PeriodsAwake = 2;
-
-// In order, so that what a message says of each of n boxes is found in n log n steps. A search
-// through all for each took a whole core 0.71 ms a message with 1,000 boxes and 5.8 with 3,000;
-// this takes 0.08 and 0.9 (limereel-bench --only servers).
-std::vector<BoxAge> inOrder(std::vector<BoxAge> ages)
+// A running box ticks in each period. One that has neither ticked nor received anything for longer
+// than this was stalled. Two periods tolerate ticks that are late on a busy machine.
+constexpr std::int64_t MaxIdlePeriods = 2;
+
+// Sorted, so that the ages of n boxes are found in O(n log n) steps. With a linear search for each
+// box, a message took 0.71 ms of CPU time with 1,000 boxes and 5.8 ms with 3,000; this takes 0.08
+// ms and 0.9 ms (limereel-bench --only servers).
+std::vector<BoxAge> sortedByBox(std::vector<BoxAge> ages)
 {
     std::ranges::stable_sort(ages, {}, &BoxAge::box);
     return ages;
 }
 
-const BoxAge *ageOf(const std::vector<BoxAge> &inOrder, std::uint64_t box)
+const BoxAge *findAge(const std::vector<BoxAge> &sortedByBox, std::uint64_t box)
 {
-    const auto place = std::ranges::lower_bound(inOrder, shortHash(box), {}, &BoxAge::box);
-    return place != inOrder.end() && place->box == shortHash(box) ? &*place : nullptr;
+    const auto position = std::ranges::lower_bound(sortedByBox, shortHash(box), {}, &BoxAge::box);
+    return position != sortedByBox.end() && position->box == shortHash(box) ? &*position : nullptr;
 }
 
 } // namespace
@@ -52,7 +52,8 @@
             peer(box, now);
         }
     }
-    // A box that is neither listed nor heard of is forgotten; the list lags, so a heard one stays.
+    // A box that is neither listed nor heard from is dropped. The list lags behind, so a box that
+    // is heard from stays.
     const std::set<std::uint64_t> all(boxes.begin(), boxes.end());
     const Duration dead = deadAfter();
     std::erase_if(peers_, [&](const auto &entry) {
@@ -64,48 +65,49 @@
 std::size_t HeartbeatTable::receive(const std::vector<BoxState> &states,
                                     const std::vector<BoxAge> &ages, Instant now)
 {
-    noteAwake(now);
-    std::size_t news = 0;
+    noteActive(now);
+    std::size_t newStates = 0;
     for (const BoxState &state : states) {
-        news += takeState(state, now) ? 1 : 0;
+        newStates += mergeState(state, now) ? 1 : 0;
     }
     const Duration dead = deadAfter();
     if (!states.empty() && states.front().box != self_.box) {
         Peer &sender = peer(states.front().box, now);
         sender.unreachable = false;
-        takeSign(sender, now, dead, now);
+        mergeLastHeard(sender, now, dead, now);
     }
-    const std::vector<BoxAge> told = inOrder(ages);
+    const std::vector<BoxAge> sortedAges = sortedByBox(ages);
     for (auto &[box, entry] : peers_) {
-        const BoxAge *const age = ageOf(told, box);
+        const BoxAge *const age = findAge(sortedAges, box);
         if (age != nullptr && age->age < MaxAge) {
-            takeSign(entry, now - policy_.period * age->age / QuartersPerPeriod, dead, now);
+            mergeLastHeard(entry, now - policy_.period * age->age / QuartersPerPeriod, dead, now);
         }
     }
-    return news;
+    return newStates;
 }
 
 std::vector<BoxState> HeartbeatTable::introductionFor(const std::vector<BoxState> &states,
                                                       const std::vector<BoxAge> &ages, Instant now,
                                                       std::mt19937_64 &random) const
 {
-    // A greeting is one state, a heartbeat has ages; what has neither form is itself an
-    // introduction, which is not answered.
+    // A greeting, by which a box that knows no others contacts a seed, has one state, and a
+    // heartbeat has ages. A message with neither form is itself an introduction, which is not
+    // answered.
     const bool greeting = states.size() == 1;
     if (states.empty() || (!greeting && ages.empty())) {
         return {};
     }
-    const std::vector<BoxAge> told = inOrder(ages);
+    const std::vector<BoxAge> sortedAges = sortedByBox(ages);
     const auto known = [&](std::uint64_t box) {
         return std::ranges::find(states, box, &BoxState::box) != states.end()
-               || ageOf(told, box) != nullptr;
+               || findAge(sortedAges, box) != nullptr;
     };
     std::vector<BoxState> missing;
     for (const auto &[box, entry] : peers_) {
-        // Of one who has long been silent the other may rightly know nothing any more, whether this
-        // box could have heard it or not.
-        const bool sure = entry.heard && now - entry.lastSign <= policy_.suspectAfter / 2;
-        if (sure && !known(box)) {
+        // The sender may rightly have dropped a box that has been silent for long, so such a box
+        // isn't introduced. Stalls of this box are not subtracted from that silence.
+        const bool recent = entry.heard && now - entry.lastHeard <= policy_.suspectAfter / 2;
+        if (recent && !known(box)) {
             missing.push_back(entry.state);
         }
     }
@@ -113,9 +115,9 @@
         return {};
     }
     std::ranges::shuffle(missing, random);
-    const std::size_t most =
+    const std::size_t maxStates =
             std::max(policy_.statesPerIntroduction, peers_.size() / policy_.introductionDivisor);
-    missing.resize(std::min(missing.size(), most));
+    missing.resize(std::min(missing.size(), maxStates));
     missing.insert(missing.begin(), self_);
     return missing;
 }
@@ -145,7 +147,7 @@
 
 std::vector<HeartbeatMessage> HeartbeatTable::tick(Instant now, std::mt19937_64 &random)
 {
-    noteAwake(now);
+    noteActive(now);
     renewSelf();
     countDeaths(now);
     const std::vector<BoxAge> known = ages(now);
@@ -180,9 +182,9 @@
     return now < entry.dampedUntil ? Liveness::Damped : Liveness::Live;
 }
 
-// News reach all boxes in a number of periods that grows with the logarithm of how many there are,
-// so the bound does, too (as in SWIM). With 8 periods, 1 to 129 of 87,000 pairs of 295 live boxes
-// doubted each other in every third period; with 12, none in 200 periods.
+// The number of periods in which a change reaches all boxes grows with the logarithm of their
+// number, so this limit does too (as in SWIM). With 8 periods, 1 to 129 of the 87,000 pairs among
+// 295 live boxes suspected each other in every third period; with 12, none did in 200 periods.
 Duration HeartbeatTable::suspectAfter() const
 {
     constexpr double PeriodsPerLogarithm = 2;
@@ -191,8 +193,9 @@
     return std::max<Duration>(policy_.suspectAfter, policy_.period * needed);
 }
 
-// A suspected box has two periods to be heard of, however late suspicion comes: with one bound for
-// all sizes, what was suspected among 1,000 boxes was dead at once.
+// A suspected box has two periods in which it can be heard from before it is dead, however late it
+// was suspected. With one limit for all fleet sizes, a box that was suspected among 1,000 boxes was
+// dead at once.
 Duration HeartbeatTable::deadAfter() const
 {
     constexpr std::int64_t PeriodsSuspected = 2;
@@ -237,44 +240,44 @@
     return found == peers_.end() || !found->second.heard ? nullptr : &found->second.state;
 }
 
-// While this box stood still, heartbeats lay unread in its socket: that time says nothing of
-// others.
+// Time in which this box was stalled doesn't count: the heartbeats of the others lay unread in its
+// socket.
 Duration HeartbeatTable::silence(const Peer &entry, Instant now) const
 {
-    return now - entry.lastSign - entry.unheard - standstill(entry, now);
+    return now - entry.lastHeard - entry.stallTime - currentStall(entry, now);
 }
 
-Duration HeartbeatTable::standstill(const Peer &entry, Instant now) const
+Duration HeartbeatTable::currentStall(const Peer &entry, Instant now) const
 {
-    if (!awakeAt_) {
+    if (!lastActive_) {
         return Duration(0);
     }
-    const Instant awakeUntil = *awakeAt_ + policy_.period * PeriodsAwake;
-    return std::max(Duration(0), now - std::max(awakeUntil, entry.lastSign));
+    const Instant activeUntil = *lastActive_ + policy_.period * MaxIdlePeriods;
+    return std::max(Duration(0), now - std::max(activeUntil, entry.lastHeard));
 }
 
-void HeartbeatTable::noteAwake(Instant now)
+void HeartbeatTable::noteActive(Instant now)
 {
     for (auto &[box, entry] : peers_) {
-        entry.unheard += standstill(entry, now);
+        entry.stallTime += currentStall(entry, now);
     }
-    if (awakeAt_ && now > *awakeAt_ + policy_.period * PeriodsAwake) {
-        stoodStillUntil_ = now;
+    if (lastActive_ && now > *lastActive_ + policy_.period * MaxIdlePeriods) {
+        stalledUntil_ = now;
     }
-    awakeAt_ = now;
+    lastActive_ = now;
 }
 
 HeartbeatTable::Peer &HeartbeatTable::peer(std::uint64_t box, Instant now)
 {
-    const auto [place, added] = peers_.try_emplace(box);
+    const auto [position, added] = peers_.try_emplace(box);
     if (added) {
-        place->second.lastSign = now;
+        position->second.lastHeard = now;
         newcomers_.push_back(box);
     }
-    return place->second;
+    return position->second;
 }
 
-bool HeartbeatTable::takeState(const BoxState &state, Instant now)
+bool HeartbeatTable::mergeState(const BoxState &state, Instant now)
 {
     if (state.box == self_.box) {
         return false;
@@ -292,20 +295,20 @@
     return true;
 }
 
-void HeartbeatTable::takeSign(Peer &entry, Instant sign, Duration dead, Instant now) const
+void HeartbeatTable::mergeLastHeard(Peer &entry, Instant heardAt, Duration dead, Instant now) const
 {
-    if (sign <= entry.lastSign) {
+    if (heardAt <= entry.lastHeard) {
         return;
     }
-    // A sign that is itself too old to count doesn't bring anybody back.
+    // A report that is itself too old to count doesn't bring back a dead box.
     const bool wasDead = silence(entry, now) > dead;
-    if (wasDead && now - sign <= dead) {
+    if (wasDead && now - heardAt <= dead) {
         noteReturn(entry, now);
     }
-    entry.lastSign = sign;
-    // A sign that others passed on may be older than the own standstill, which still excuses what
-    // of it came after the sign.
-    entry.unheard = std::min(entry.unheard, std::max(Duration(0), stoodStillUntil_ - sign));
+    entry.lastHeard = heardAt;
+    // A time reported by others may lie before this box's own stall. The part of the stall after
+    // that time still doesn't count as silence.
+    entry.stallTime = std::min(entry.stallTime, std::max(Duration(0), stalledUntil_ - heardAt));
 }
 
 void HeartbeatTable::noteReturn(Peer &entry, Instant now) const
@@ -342,28 +345,30 @@
     });
 }
 
-// What is said again although it is the same reaches those that missed it.
+// An unchanged state is sent again as a new version from time to time, for boxes that missed it.
 void HeartbeatTable::renewSelf()
 {
-    ++sinceTold_;
-    // More often, and what is told again would crowd out what is new.
+    ++periodsSincePublished_;
+    // Sending it again more often would crowd out states that have changed.
     const std::uint64_t refreshEvery = std::max<std::uint64_t>(policy_.refreshEvery, peers_.size());
-    if (self_.version > 0 && self_.equalExceptVersion(told_) && sinceTold_ < refreshEvery) {
+    if (self_.version > 0 && self_.equalExceptVersion(published_)
+        && periodsSincePublished_ < refreshEvery) {
         return;
     }
     ++self_.version;
-    told_ = self_;
-    sinceTold_ = 0;
+    published_ = self_;
+    periodsSincePublished_ = 0;
 }
 
-// A round takes half as many periods as there are boxes, so one that is met in its middle is put in
-// by chance, as in SWIM. Left for the next round, boxes that few had met when the fleet started
-// heard so little for half a minute that they took a seventh of 295 live boxes for dead.
+// A round takes half as many periods as there are boxes, so a box first heard of in the middle of
+// one is inserted at a random position, as in SWIM. When it had to wait for the next round, boxes
+// that few others knew when the fleet started received so little for half a minute that they took a
+// seventh of 295 live boxes for dead.
 void HeartbeatTable::addNewcomers(std::mt19937_64 &random)
 {
     for (const std::uint64_t box : newcomers_) {
-        const std::size_t place = random() % (round_.size() + 1);
-        round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(place), box);
+        const std::size_t position = random() % (round_.size() + 1);
+        round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(position), box);
     }
     newcomers_.clear();
 }
@@ -396,14 +401,16 @@
     return chosen;
 }
 
-// One message of a period stays in the own hall, where bytes cost nothing: in five halls that are
-// half of what heartbeats send between halls. All news still reach all in as many periods, as a
-// hall passes on among itself what one of its boxes has heard from elsewhere (MembershipTest).
+// One message of each period goes to a box of the own hall, where traffic costs nothing. With five
+// halls this halves the heartbeat traffic between halls. Changes still reach all boxes in as many
+// periods, as the boxes of a hall pass on to each other what one of them received from another hall
+// (MembershipTest).
 std::optional<std::uint64_t> HeartbeatTable::neighbourInTurn(std::mt19937_64 &random)
 {
     const auto near = [this](std::uint64_t box) {
-        const auto place = peers_.find(box);
-        return place != peers_.end() && self_.hall != 0 && place->second.state.hall == self_.hall;
+        const auto position = peers_.find(box);
+        return position != peers_.end() && self_.hall != 0
+               && position->second.state.hall == self_.hall;
     };
     std::erase_if(neighbours_, [&near](std::uint64_t box) { return !near(box); });
     if (neighbours_.empty()) {
@@ -440,15 +447,15 @@
     return states;
 }
 
-// What is told to others counts the own standstill, else a box that stood still would bring back
-// for them one that died meanwhile.
+// The ages sent to others include this box's own stall. Otherwise a box that was stalled would make
+// others believe that a box which died meanwhile is alive.
 std::vector<BoxAge> HeartbeatTable::ages(Instant now) const
 {
     std::vector<BoxAge> result;
     const Duration quarter = policy_.period / QuartersPerPeriod;
     const Duration dead = deadAfter();
     for (const auto &[box, entry] : peers_) {
-        const Duration silent = now - entry.lastSign;
+        const Duration silent = now - entry.lastHeard;
         if (entry.heard && silent <= dead) {
             const auto quarters = (silent + quarter - Duration(1)) / quarter;
             result.push_back({shortHash(box),
--- a/src/membership/Rendezvous.h
+++ b/src/membership/Rendezvous.h
@@ -1,9 +1,9 @@
 /** \file
- * Rendezvous hashing: every box works out the same order from the same members, and a member that
- * comes or goes moves only its own share. (Thaler and Ravishankar, 1998.)
+ * Rendezvous hashing: every box computes the same order from the same members, and a member that is
+ * added or removed moves only its own share of the keys. (Thaler and Ravishankar, 1998.)
  *
- * Used twice: to order the engines for a chat, and to find the box that owns an engine. Nothing is
- * stored and nobody is elected.
+ * It orders the engines for a chat, and it finds the box that owns an engine. Nothing is stored and
+ * no leader is elected.
  */
 #pragma once
 
@@ -15,9 +15,9 @@
 namespace limereel::membership {
 
 /**
- * The weight of \a member for \a key: the member with the highest comes first. A full 64-bit
- * finalizer (the constants of MurmurHash3's fmix64, public domain): both inputs are hashes already,
- * and this runs for each server of a service on each request.
+ * The weight of \a member for \a key; the member with the highest weight comes first. It is a full
+ * 64-bit finalizer (the constants of MurmurHash3's fmix64, public domain): both inputs are hashes
+ * already, and this runs for each server of a service on each request.
  */
 inline std::uint64_t rendezvousWeight(std::uint64_t key, std::uint64_t member)
 {
@@ -30,8 +30,10 @@
     return mixed;
 }
 
-/** Positions in \a members of the \a count best for \a key, best first. Ties fall to the lower
- * hash. */
+/**
+ * Positions in \a members of the \a count best for \a key, best first. Equal weights are ordered by
+ * the lower hash.
+ */
 std::vector<std::size_t> rendezvousOrder(std::uint64_t key, std::span<const std::uint64_t> members,
                                          std::size_t count);
 
--- a/test/correctness/MembershipTest.cpp
+++ b/test/correctness/MembershipTest.cpp
@@ -1,4 +1,4 @@
-// Heartbeats among many boxes: who is live, lost messages, cuts, flaps, bounded bytes.
+// Heartbeats among many boxes: liveness, lost messages, partitions, flaps, bounded traffic.
 
 #include "membership/BackendHealth.h"
 #include "membership/HeartbeatTable.h"
@@ -23,17 +23,18 @@
 namespace {
 
 constexpr HeartbeatPolicy Policy{};
-constexpr int LongStandstill = 20; ///< Periods; a box that is silent for so long counts as dead.
+constexpr int LongStall = 20; ///< Periods; a box that is silent for so long counts as dead.
 
-/** Whom the boxes know at the start. */
-enum class Acquainted : std::uint8_t { All, WithThreeSeeds };
+/** Which boxes know each other at the start. */
+enum class InitialKnowledge : std::uint8_t { All, WithThreeSeeds };
 
-/** Boxes whose messages a test passes on or drops. */
+/** Boxes whose messages a test delivers or drops. */
 class Hall
 {
 public:
-    /** \param halls of boxes; 0: none is told. */
-    explicit Hall(std::size_t count, Acquainted acquainted = Acquainted::All, std::size_t halls = 0)
+    /** \param halls number of halls that the boxes are spread over; 0: no hall is published. */
+    explicit Hall(std::size_t count, InitialKnowledge knowledge = InitialKnowledge::All,
+                  std::size_t halls = 0)
     {
         std::vector<std::uint64_t> all;
         for (std::size_t index = 0; index < count; ++index) {
@@ -43,13 +44,13 @@
             BoxState state{.box = box, .incarnation = 1};
             state.hall = static_cast<membership::ShortHash>(halls == 0 ? 0 : 1 + box % halls);
             tables_.emplace(box, HeartbeatTable(Policy, state));
-            if (acquainted == Acquainted::All) {
+            if (knowledge == InitialKnowledge::All) {
                 tables_.at(box).setListed(all, now_);
             }
         }
     }
 
-    /** Each box greets three seeds, as it does while it is alone. */
+    /** Each box greets three seeds, as a box does while it knows no others. */
     void greetSeeds()
     {
         for (const std::uint64_t seed : {2U, 3U, 5U}) {
@@ -66,15 +67,18 @@
     void stop(std::uint64_t box) { stopped_.insert(box); }
     void resume(std::uint64_t box) { stopped_.erase(box); }
 
-    /** The box neither sends nor hears for so many periods. */
-    void standStill(std::uint64_t box, int count)
+    /** The box neither sends nor receives for \a count periods. */
+    void stall(std::uint64_t box, int count)
     {
         stop(box);
         periods(count);
         resume(box);
     }
 
-    /** One period for everyone; \a passes says whether a message from one to another arrives. */
+    /**
+     * One period for all boxes; \a passes decides whether a message from one box to another
+     * arrives.
+     */
     void period(const std::function<bool(std::uint64_t, std::uint64_t)> &passes)
     {
         now_ += Policy.period;
@@ -83,7 +87,7 @@
                 continue;
             }
             for (const auto &message : table.tick(now_, random_)) {
-                greatestMessage_ = std::max(greatestMessage_, message.states.size());
+                largestMessage_ = std::max(largestMessage_, message.states.size());
                 ++messages_;
                 if (!stopped_.contains(message.to) && passes(box, message.to)) {
                     deliver(box, message.to, message.states, message.ages);
@@ -99,22 +103,22 @@
         }
     }
 
-    /** One period in which each box has its own moment, as real ones have. */
+    /** One period in which the boxes tick one after the other, as real ones do. */
     void spreadPeriod()
     {
         const kernel::Duration step = Policy.period / static_cast<std::int64_t>(tables_.size());
         for (auto &[box, table] : tables_) {
             now_ += step;
             for (const auto &message : table.tick(now_, random_)) {
-                abroad_ += table.self().hall == tables_.at(message.to).self().hall ? 0 : 1;
+                betweenHalls_ += table.self().hall == tables_.at(message.to).self().hall ? 0 : 1;
                 ++messages_;
                 deliver(box, message.to, message.states, message.ages);
             }
         }
     }
 
-    /** Pairs of boxes of which one doesn't take the other for live. */
-    std::size_t doubts() const
+    /** Number of ordered pairs of boxes in which the first doesn't take the second for live. */
+    std::size_t countSuspicions() const
     {
         std::size_t count = 0;
         for (const auto &[box, table] : tables_) {
@@ -140,14 +144,14 @@
     }
 
     std::mt19937_64 &random() { return random_; }
-    std::size_t greatestMessage() const { return greatestMessage_; }
+    std::size_t largestMessage() const { return largestMessage_; }
     std::size_t messages() const { return messages_; }
     std::size_t introductions() const { return introductions_; }
 
     /** The share of the messages that went to another hall. */
-    double shareAbroad() const
+    double shareBetweenHalls() const
     {
-        return static_cast<double>(abroad_) / static_cast<double>(messages_);
+        return static_cast<double>(betweenHalls_) / static_cast<double>(messages_);
     }
 
 private:
@@ -167,9 +171,9 @@
     std::map<std::uint64_t, HeartbeatTable> tables_;
     std::set<std::uint64_t> stopped_;
     std::mt19937_64 random_{3};
-    std::size_t greatestMessage_ = 0;
+    std::size_t largestMessage_ = 0;
     std::size_t messages_ = 0;
-    std::size_t abroad_ = 0;
+    std::size_t betweenHalls_ = 0;
     std::size_t introductions_ = 0;
 };
 
@@ -198,11 +202,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(heartbeats_fleetStartsKnowingThreeSeeds_allKnowAllWithinPeriods)
+BOOST_AUTO_TEST_CASE(heartbeats_fleetStartsWithThreeSeeds_allKnowAllWithinPeriods)
 {
     for (const auto &[boxes, periods] :
          {std::pair(7U, 3), std::pair(85U, 6), std::pair(300U, 12)}) {
-        Hall hall(boxes, Acquainted::WithThreeSeeds);
+        Hall hall(boxes, InitialKnowledge::WithThreeSeeds);
         hall.greetSeeds();
         int taken = 0;
         while (!hall.agree(hall.all()) && taken < 60) {
@@ -214,50 +218,51 @@
     }
 }
 
-// A fleet that has started and goes on: nobody has died, so nobody is doubted.
-BOOST_AUTO_TEST_CASE(heartbeats_fleetOf295GoesOn_nobodyDoubtsAnybody)
+// After its start a fleet in which no box dies has no suspected boxes.
+BOOST_AUTO_TEST_CASE(heartbeats_fleetOf295_noBoxIsSuspected)
 {
-    Hall hall(295, Acquainted::WithThreeSeeds);
+    Hall hall(295, InitialKnowledge::WithThreeSeeds);
     hall.greetSeeds();
     for (int period = 0; period < 60; ++period) {
         hall.spreadPeriod();
-        BOOST_TEST_MESSAGE(period << ": " << hall.doubts());
+        BOOST_TEST_MESSAGE(period << ": " << hall.countSuspicions());
         if (period >= 12) {
-            BOOST_TEST(hall.doubts() == 0U);
+            BOOST_TEST(hall.countSuspicions() == 0U);
         }
     }
 }
 
-// Half of the messages stay in their halls, and nobody is doubted for it.
-BOOST_AUTO_TEST_CASE(heartbeats_fleetInFiveHallsGoesOn_nobodyDoubtsAnybody)
+// Although half of the messages stay within a hall, no box is suspected.
+BOOST_AUTO_TEST_CASE(heartbeats_fleetInFiveHalls_noBoxIsSuspected)
 {
     for (const std::size_t boxes : {85U, 295U}) {
-        Hall hall(boxes, Acquainted::WithThreeSeeds, 5);
+        Hall hall(boxes, InitialKnowledge::WithThreeSeeds, 5);
         hall.greetSeeds();
         for (int period = 0; period < 100; ++period) {
             hall.spreadPeriod();
-            BOOST_TEST_MESSAGE(period << ": " << hall.doubts());
+            BOOST_TEST_MESSAGE(period << ": " << hall.countSuspicions());
             if (period >= 12) {
-                BOOST_TEST(hall.doubts() == 0U);
+                BOOST_TEST(hall.countSuspicions() == 0U);
             }
         }
-        BOOST_TEST_MESSAGE("abroad: " << hall.shareAbroad());
-        BOOST_TEST(hall.shareAbroad() < 0.45);
+        BOOST_TEST_MESSAGE("abroad: " << hall.shareBetweenHalls());
+        BOOST_TEST(hall.shareBetweenHalls() < 0.45);
     }
 }
 
-// With introductions of one size for all fleets, 1,000 boxes knew each other after 26 periods only;
-// until then each named other owners. Larger fleets may take some periods more, by the logarithm.
-BOOST_AUTO_TEST_CASE(heartbeats_fleetOf1000Starts_knowsItselfInTwicePeriodsOf295)
+// With introductions of one size for all fleets, 1,000 boxes knew each other only after 26 periods;
+// until then they named different owners. A larger fleet may take some periods more, by the
+// logarithm of its size.
+BOOST_AUTO_TEST_CASE(heartbeats_fleetOf1000Starts_allKnowAllInTwiceThePeriodsOf295)
 {
     constexpr int PeriodsOf295 = 7;
-    Hall hall(1000, Acquainted::WithThreeSeeds);
+    Hall hall(1000, InitialKnowledge::WithThreeSeeds);
     hall.greetSeeds();
     for (int period = 0; period <= 2 * PeriodsOf295; ++period) {
         hall.spreadPeriod();
-        BOOST_TEST_MESSAGE(period << ": " << hall.doubts());
+        BOOST_TEST_MESSAGE(period << ": " << hall.countSuspicions());
     }
-    BOOST_TEST(hall.doubts() == 0U);
+    BOOST_TEST(hall.countSuspicions() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(liveness_boxSilentForTheSuspicionOfALargeFleet_isSuspectedNotDead)
@@ -291,22 +296,22 @@
     }
     const auto messages = table.splitIntoMessages(introduction);
     BOOST_TEST(messages.size() == 5U);
-    std::set<std::uint64_t> told;
+    std::set<std::uint64_t> sent;
     for (const auto &states : messages) {
         BOOST_TEST(states.size() <= Policy.statesPerIntroduction + 1);
         BOOST_TEST(states.size() > 1U);
         BOOST_TEST(states.front().box == 1U);
         for (const BoxState &state : states) {
-            told.insert(state.box);
+            sent.insert(state.box);
         }
     }
-    BOOST_TEST(told.size() == introduction.size());
+    BOOST_TEST(sent.size() == introduction.size());
     BOOST_TEST(table.splitIntoMessages({}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(introductions_allKnowAll_noneIsSent)
 {
-    Hall hall(85, Acquainted::WithThreeSeeds);
+    Hall hall(85, InitialKnowledge::WithThreeSeeds);
     hall.greetSeeds();
     hall.periods(20);
     const std::size_t before = hall.introductions();
@@ -346,11 +351,11 @@
 {
     Hall hall(37);
     hall.periods(50);
-    BOOST_TEST(hall.greatestMessage() <= Policy.statesPerMessage);
+    BOOST_TEST(hall.largestMessage() <= Policy.statesPerMessage);
     BOOST_TEST(hall.messages() <= std::size_t{37} * 50 * Policy.fanout);
 }
 
-BOOST_AUTO_TEST_CASE(heartbeats_hallCutInTwo_eachPartOwnsAllAndTheyJoinAgain)
+BOOST_AUTO_TEST_CASE(heartbeats_hallPartitioned_eachPartOwnsAllUntilRejoined)
 {
     Hall hall(8);
     hall.periods(10);
@@ -373,7 +378,7 @@
     BOOST_TEST((hall.table(2).owners(hall.now()) == std::vector<std::uint64_t>{2}));
 }
 
-BOOST_AUTO_TEST_CASE(heartbeats_boxLeaves_ownsNothingAnywhereWithinPeriods)
+BOOST_AUTO_TEST_CASE(heartbeats_boxLeaves_ownsNothingWithinPeriods)
 {
     Hall hall(12);
     hall.periods(15);
@@ -405,53 +410,51 @@
     BOOST_TEST(waits[3] > waits[2]);
 }
 
-// Found by reading the sources and reproduced here, not in a record of a fleet:
-// a box that had been frozen took over everything, and went on so long after it ran again.
-// How it came about: it had heard nobody for longer than the failure time. Its first round counted
-// all others as dead although their heartbeats lay unread in its socket; after the second time it
-// held them for flapping and damped them.
-// Cause: silence was counted over the time in which the box itself could hear nothing.
-BOOST_AUTO_TEST_CASE(owners_rightAfterOwnStandstill_areAsBefore)
+// A box that was stalled for longer than the failure time took over everything, and kept it for
+// some time afterwards. It counted its stall as silence of the others: its first tick counted all
+// of them as dead although their heartbeats lay unread in its socket, and from the second stall on
+// it damped them as flapping.
+BOOST_AUTO_TEST_CASE(owners_rightAfterOwnStall_areUnchanged)
 {
     // The first box ticks before the others have sent to it again, the last one after that.
-    for (const std::uint64_t frozen : {1U, 5U}) {
+    for (const std::uint64_t stalled : {1U, 5U}) {
         Hall hall(5);
         hall.periods(20);
-        hall.standStill(frozen, LongStandstill);
-        BOOST_TEST((hall.table(frozen).owners(hall.now()) == hall.all()));
+        hall.stall(stalled, LongStall);
+        BOOST_TEST((hall.table(stalled).owners(hall.now()) == hall.all()));
         for (int period = 0; period < 30; ++period) {
             hall.periods(1);
-            BOOST_TEST((hall.table(frozen).owners(hall.now()) == hall.all()));
+            BOOST_TEST((hall.table(stalled).owners(hall.now()) == hall.all()));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(owners_boxStandsStillRepeatedly_othersAreNotDamped)
+BOOST_AUTO_TEST_CASE(owners_boxStallsRepeatedly_othersAreNotDamped)
 {
-    for (const std::uint64_t frozen : {1U, 5U}) {
+    for (const std::uint64_t stalled : {1U, 5U}) {
         Hall hall(5);
         hall.periods(20);
         for (int time = 0; time < 3; ++time) {
-            hall.standStill(frozen, LongStandstill);
+            hall.stall(stalled, LongStall);
             hall.periods(5);
-            BOOST_TEST((hall.table(frozen).owners(hall.now()) == hall.all()));
+            BOOST_TEST((hall.table(stalled).owners(hall.now()) == hall.all()));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(setListed_unlistedPeersAfterOwnStandstill_areKept)
+BOOST_AUTO_TEST_CASE(setListed_unlistedPeersAfterOwnStall_areKept)
 {
-    Hall hall(5, Acquainted::WithThreeSeeds);
+    Hall hall(5, InitialKnowledge::WithThreeSeeds);
     hall.greetSeeds();
     hall.periods(20);
-    hall.standStill(1, LongStandstill);
+    hall.stall(1, LongStall);
     hall.table(1).setListed({}, hall.now());
     BOOST_TEST((hall.table(1).owners(hall.now()) == hall.all()));
 }
 
-// Two boxes stand still at the same time. What one of them then tells of a third counts from before
-// that, and must not undo what the other has forgiven.
-BOOST_AUTO_TEST_CASE(receive_ageFromBeforeACommonStandstill_boxIsStillLive)
+// Two boxes are stalled at the same time. The age of a third box that one of them then sends goes
+// back to before the stall, and must not undo the stall that the other one has subtracted.
+BOOST_AUTO_TEST_CASE(receive_ageFromBeforeACommonStall_boxIsStillLive)
 {
     std::mt19937_64 random(1);
     kernel::Instant now{kernel::Duration(3600s)};
@@ -479,8 +482,9 @@
     BOOST_TEST((first.liveness(2, now) == Liveness::Live));
 }
 
-// A sign of life from after the standstill needs no excuse, also if others passed it on.
-BOOST_AUTO_TEST_CASE(receive_signFromAfterOwnStandstill_deathIsNotNoticedLater)
+// The stall must not be subtracted from silence that began after it, also if others reported the
+// time.
+BOOST_AUTO_TEST_CASE(receive_ageFromAfterOwnStall_deathIsDetectedInTime)
 {
     std::mt19937_64 random(1);
     const HeartbeatPolicy policy;
@@ -502,24 +506,24 @@
     constexpr int Periods = 4;
     constexpr std::uint8_t QuartersPerPeriod = 4;
     table.receive({}, {{membership::shortHash(2), Periods * QuartersPerPeriod}}, now);
-    // Dead a period after its time, counted from the sign.
+    // Dead one period after the limit, counted from the time reported.
     runFor(static_cast<int>(policy.deadAfter / policy.period) - Periods + 1);
     BOOST_TEST((table.liveness(2, now) == Liveness::Dead));
 }
 
-BOOST_AUTO_TEST_CASE(heartbeats_boxDiesWhileAnotherStandsStill_isNotBroughtBack)
+BOOST_AUTO_TEST_CASE(heartbeats_boxDiesWhileAnotherIsStalled_staysDead)
 {
-    for (const std::uint64_t frozen : {1U, 5U}) {
+    for (const std::uint64_t stalled : {1U, 5U}) {
         Hall hall(5);
         hall.periods(20);
         hall.stop(2);
-        hall.standStill(frozen, LongStandstill);
+        hall.stall(stalled, LongStall);
         BOOST_TEST((hall.table(3).liveness(2, hall.now()) == Liveness::Dead));
         for (int period = 0; period < 30; ++period) {
             hall.periods(1);
             BOOST_TEST((hall.table(3).liveness(2, hall.now()) == Liveness::Dead));
         }
-        BOOST_TEST((hall.table(frozen).liveness(2, hall.now()) == Liveness::Dead));
+        BOOST_TEST((hall.table(stalled).liveness(2, hall.now()) == Liveness::Dead));
     }
 }
 
@@ -536,7 +540,7 @@
     BOOST_TEST((*table.find(2) == newer));
 }
 
-BOOST_AUTO_TEST_CASE(receive_ownStateFromOthers_isPassedOver)
+BOOST_AUTO_TEST_CASE(receive_ownStateFromOthers_isIgnored)
 {
     const Instant now{kernel::Duration(3600s)};
     HeartbeatTable table(Policy, BoxState{.box = 1, .incarnation = 1});
@@ -546,7 +550,7 @@
     BOOST_TEST((table.owners(now) == std::vector<std::uint64_t>{1}));
 }
 
-BOOST_AUTO_TEST_CASE(noteUnreachable_untilHeardAgain_ownsNothing)
+BOOST_AUTO_TEST_CASE(noteUnreachable_untilHeardFromAgain_ownsNothing)
 {
     Hall hall(3);
     hall.periods(5);
@@ -556,7 +560,7 @@
     BOOST_TEST((hall.table(1).owners(hall.now()) == hall.all()));
 }
 
-BOOST_AUTO_TEST_CASE(backendHealth_table_asStated)
+BOOST_AUTO_TEST_CASE(backendHealth_outages_requireMoreProbes)
 {
     const Instant now{kernel::Duration(3600s)};
     BackendHealth health;
@@ -569,7 +573,7 @@
     BOOST_TEST(!health.usable());
     health.noteProbeSuccess(2, now);
     BOOST_TEST(health.usable());
-    // A second fall is a flap: two good probes in a row are asked for, then four.
+    // The second outage is a flap: two good probes in a row are required, then four.
     for (const int needed : {2, 4, 8}) {
         health.noteUnreachable(now);
         health.noteUnreachable(now);
