--- a/src/answer/EventSplitter.cpp
+++ b/src/answer/EventSplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The data lines of one event, joined by line ends; other fields and comments are of no use here.
+// The data lines of one event, joined by line ends; other fields and comments are ignored.
 std::string dataOf(std::string_view event)
 {
     constexpr std::string_view Field = "data:";
@@ -34,18 +34,18 @@
 bool EventSplitter::take(std::string_view part, std::vector<std::string> &events)
 {
     constexpr std::string_view Blank = "\n\n";
-    rest_ += part;
+    buffer_ += part;
     std::size_t begin = 0;
-    for (std::size_t end = rest_.find(Blank); end != std::string::npos;
-         end = rest_.find(Blank, begin)) {
-        if (std::string data = dataOf(std::string_view(rest_).substr(begin, end - begin));
+    for (std::size_t end = buffer_.find(Blank); end != std::string::npos;
+         end = buffer_.find(Blank, begin)) {
+        if (std::string data = dataOf(std::string_view(buffer_).substr(begin, end - begin));
             !data.empty()) {
             events.push_back(std::move(data));
         }
         begin = end + Blank.size();
     }
-    rest_.erase(0, begin);
-    return rest_.size() <= mostBytes_;
+    buffer_.erase(0, begin);
+    return buffer_.size() <= maxBytes_;
 }
 
 } // namespace limereel::answer
--- a/src/answer/EventSplitter.h
+++ b/src/answer/EventSplitter.h
@@ -1,5 +1,6 @@
 /** \file
- * Cuts a stream of server-sent events into their data, wherever the network has split it.
+ * Splits a stream of server-sent events into the data of each event, however the network divided
+ * the stream.
  */
 #pragma once
 
@@ -9,26 +10,28 @@
 
 namespace limereel::answer {
 
-/** Takes parts of a stream, gives whole events. */
+/** Takes parts of a stream and returns whole events. */
 class EventSplitter
 {
 public:
-    /** \param mostBytes of one event; a longer one is an error of the sender. */
-    explicit EventSplitter(std::size_t mostBytes)
-        : mostBytes_(mostBytes)
+    /** \param maxBytes the largest size of an event; a longer one is an error of the sender. */
+    explicit EventSplitter(std::size_t maxBytes)
+        : maxBytes_(maxBytes)
     {
     }
 
-    /** Takes the next part; the data of each event that is now whole is appended to \a events.
-     * \return false if an event is too long. */
+    /**
+     * Takes the next part and appends the data of each event that is now complete to \a events.
+     * \return false if an event is too long.
+     */
     bool take(std::string_view part, std::vector<std::string> &events);
 
-    /** Whether a part of an event is left over. */
-    bool hasPartialEvent() const { return !rest_.empty(); }
+    /** Whether part of an event is buffered. */
+    bool hasPartialEvent() const { return !buffer_.empty(); }
 
 private:
-    std::size_t mostBytes_;
-    std::string rest_;
+    std::size_t maxBytes_;
+    std::string buffer_;
 };
 
 } // namespace limereel::answer
--- a/src/answer/FrameCheck.cpp
+++ b/src/answer/FrameCheck.cpp
@@ -14,7 +14,7 @@
         return FrameResult::Contradiction;
     }
     if (frame.sequence > next_) {
-        if (held_.size() >= holdAtMost_ && !held_.contains(frame.sequence)) {
+        if (held_.size() >= maxHeld_ && !held_.contains(frame.sequence)) {
             return FrameResult::Overflow;
         }
         held_.try_emplace(frame.sequence, std::move(frame));
--- a/src/outcome/Attempt.cpp
+++ b/src/outcome/Attempt.cpp
@@ -34,7 +34,7 @@
     if (request.callerHasBytes) {
         return {code, ran, false};
     }
-    // A failure that the server itself answered would most likely come again.
+    // A failure that the server itself answered would most likely recur.
     const bool repeatHelps = request.repeatable && point != FailurePoint::AnsweredFailure;
     return {code, ran, ran == Ran::NotRun || repeatHelps};
 }
--- a/src/outcome/Attempt.h
+++ b/src/outcome/Attempt.h
@@ -1,9 +1,9 @@
 /** \file
- * What may be said of an attempt that failed, and whether another may follow.
+ * Determines what can be said about a failed attempt, and whether another one may follow.
  *
- * The one rule behind the table: a request is "not run" only while no byte of it has left for a
- * backend server, or when that server itself refused it before it began. Everything else ran, or
- * nobody knows.
+ * One rule is behind the table: a request is "not run" only while no byte of it has been sent to a
+ * backend server, or when that server itself refused it before it began. In all other cases it ran,
+ * or it is unknown whether it ran.
  */
 #pragma once
 
@@ -29,10 +29,10 @@
 struct Request
 {
     bool repeatable = false;     ///< Running it twice does no harm.
-    bool callerHasBytes = false; ///< Part of an answer has gone to the caller.
+    bool callerHasBytes = false; ///< Part of an answer has been sent to the caller.
 };
 
-/** What the caller is told, and whether the router may try again first. */
+/** The result for the caller, and whether the router may retry first. */
 struct Verdict
 {
     ResultCode code = ResultCode::Ok;
@@ -42,7 +42,7 @@
     auto operator<=>(const Verdict &) const = default;
 };
 
-/** Judges an attempt that failed at \a point. */
+/** Classifies an attempt that failed at \a point. */
 Verdict classifyFailure(FailurePoint point, const Request &request);
 
 /** The name of \a point for logs and counters. */
--- a/src/outcome/AttemptSummary.cpp
+++ b/src/outcome/AttemptSummary.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// That it ran is a stronger word than that nobody knows.
+// "Ran" outweighs "unknown".
 int weight(Ran ran)
 {
     switch (ran) {
@@ -33,8 +33,8 @@
     if (weight(furthest_.ran) > weight(last.ran)) {
         return furthest_;
     }
-    const bool nothingLeft = last.code == ResultCode::NoEngine && latest_.code != ResultCode::Ok;
-    return nothingLeft ? latest_ : last;
+    const bool noEngineLeft = last.code == ResultCode::NoEngine && latest_.code != ResultCode::Ok;
+    return noEngineLeft ? latest_ : last;
 }
 
 } // namespace limereel::outcome
--- a/src/outcome/AttemptSummary.h
+++ b/src/outcome/AttemptSummary.h
@@ -1,8 +1,8 @@
 /** \file
- * What a request that made several attempts may truthfully be told in the end.
+ * Determines what can truthfully be reported about a request after several attempts.
  *
- * The last attempt may not have run while an earlier one did. What is said of the request is then
- * the word of the attempt that came furthest, so that "not run" is said only if no attempt ran.
+ * The last attempt may not have run although an earlier one did. The verdict of the attempt that
+ * came furthest is then reported, so that "not run" is said only if no attempt ran.
  */
 #pragma once
 
@@ -18,13 +18,13 @@
     void add(const Verdict &verdict);
 
     /**
-     * The code and the truth for the request, if \a last is the reason it is given up on. That
-     * nothing is left to try is no news after attempts that failed: then the latest of these is
-     * told.
+     * The verdict on the request, if \a last is the reason to give it up. If \a last says only that
+     * no engine is left and attempts have failed before, the verdict of the latest of these is
+     * returned.
      */
     Verdict finalVerdict(const Verdict &last) const;
 
-    /** Whether nothing that failed so far ran. */
+    /** Whether none of the failed attempts may have run. */
     bool noAttemptRan() const { return furthest_.ran == Ran::NotRun; }
 
 private:
--- a/src/outcome/Claim.cpp
+++ b/src/outcome/Claim.cpp
@@ -16,7 +16,7 @@
         maybeCreated_ = true;
         return call(ClaimStep::Read);
     case StoreAnswer::Conflict:
-        // Without a lost create before it, the claim is surely another's.
+        // If no earlier create was lost, the claim belongs to another attempt.
         return maybeCreated_ ? call(ClaimStep::Read) : refuse(ResultCode::AlreadyClaimed);
     case StoreAnswer::Absent:
     case StoreAnswer::Unavailable:
--- a/src/outcome/Claim.h
+++ b/src/outcome/Claim.h
@@ -1,12 +1,12 @@
 /** \file
- * At most once across all routers: a keyed request is sent only by the attempt that created the
- * claim on its key.
+ * Ensures that a request with an idempotency key is sent at most once across all routers: only the
+ * attempt that created the claim on the key sends it.
  *
- * The claim is an object on the platform, created under the condition that it doesn't exist. An
- * answer of the platform can be lost although the write took effect, so the object carries the
- * attempt's id: after a lost answer the attempt reads the claim back and knows its own. An attempt
- * that never learns whose the claim is doesn't send; the key may then be spent without a run, never
- * run twice.
+ * The claim is an object on the platform, created on condition that it doesn't exist. An answer of
+ * the platform can be lost although the write took effect, so the object holds the attempt's id:
+ * after a lost answer the attempt reads the claim back and recognises its own. An attempt that
+ * never learns who holds the claim doesn't send. The key may then be used up without a run, but it
+ * never runs twice.
  */
 #pragma once
 
@@ -18,23 +18,23 @@
 
 namespace limereel::outcome {
 
-/** What the platform said to a conditional create or a read. */
+/** The platform's answer to a conditional create or a read. */
 enum class StoreAnswer : std::uint8_t {
     Done,       ///< Created, or read.
     Conflict,   ///< It exists already.
-    Absent,     ///< Read: there is none.
+    Absent,     ///< Read: it doesn't exist.
     Lost,       ///< No answer; it may have taken effect.
-    Unavailable ///< Surely without effect: not connected, refused, over the call budget.
+    Unavailable ///< Certainly without effect: not connected, refused, over the call budget.
 };
 
 /** The next step of a claim. */
 enum class ClaimStep : std::uint8_t { Create, Read, Send, Refuse };
 
-/** The state of one attempt to claim a key. An event in, the next step out. */
+/** The state of one attempt to claim a key. Each event is answered with the next step. */
 class Claim
 {
 public:
-    /** \param tries how many calls on the platform may be made in all. */
+    /** \param tries the most calls to the platform in all. */
     Claim(std::string attempt, int tries)
         : attempt_(std::move(attempt))
         , triesLeft_(tries)
@@ -43,7 +43,7 @@
 
     const std::string &attempt() const { return attempt_; }
 
-    /** Begins; \return Create. */
+    /** Starts. \return Create, or Refuse if no calls are allowed. */
     ClaimStep begin();
 
     /** Takes the answer to a create. */
@@ -53,7 +53,7 @@
      */
     ClaimStep onRead(StoreAnswer answer, const std::optional<std::string> &holder);
 
-    /** Why it was refused; meaningful after Refuse. */
+    /** Why it was refused; valid after Refuse. */
     ResultCode refusal() const { return refusal_; }
 
 private:
@@ -62,7 +62,7 @@
 
     std::string attempt_;
     int triesLeft_;
-    bool maybeCreated_ = false; ///< A create of ours may have taken effect.
+    bool maybeCreated_ = false; ///< A create of this attempt may have taken effect.
     ResultCode refusal_ = ResultCode::ClaimUnavailable;
 };
 
--- a/src/outcome/NextStep.h
+++ b/src/outcome/NextStep.h
@@ -1,5 +1,5 @@
 /** \file
- * Whether a failed attempt is followed by another, or what the caller is told instead.
+ * Decides whether a failed attempt is retried, or which result the caller gets instead.
  */
 #pragma once
 
@@ -12,14 +12,14 @@
 struct NextStep
 {
     bool retry = false;
-    Verdict verdict; ///< To be told if there is no other attempt.
+    Verdict verdict; ///< The result for the caller if there is no retry.
 
     auto operator<=>(const NextStep &) const = default;
 };
 
 /**
- * Decides what follows attempt \a number, which failed with \a verdict. A retry is taken out of \a
- * budget; if that is spent and nothing ran, the caller is told so.
+ * Decides what follows attempt \a number, which failed with \a verdict. A retry is taken from \a
+ * budget; if that is spent and nothing ran, the result says so.
  */
 NextStep afterFailure(const Verdict &verdict, int number, int mostAttempts, RetryBudget &budget);
 
--- a/src/outcome/ResultCode.h
+++ b/src/outcome/ResultCode.h
@@ -1,8 +1,8 @@
 /** \file
  * The numbered result of every request, and whether the request ran.
  *
- * Numbers are stable: callers and alarms use them. The hundreds say what happened to the request:
- * 0 answered; 1xx the caller's own fault, not run; 2xx refused, not run; 3xx ran and failed or was
+ * Numbers are stable: callers and alarms use them. The hundreds say what happened to the request: 0
+ * answered; 1xx the caller's own fault, not run; 2xx refused, not run; 3xx ran and failed or was
  * cut; 4xx unknown whether it ran. docs/RESULT_CODES.md holds the table, and a test compares the
  * two.
  */
@@ -56,7 +56,7 @@
     std::string_view name;   ///< Stable, kebab-case.
     Ran ran;                 ///< Whether the request ran.
     int httpStatus;          ///< Status of the answer when its head has not been sent yet.
-    bool retryElsewhere;     ///< Another backend server may be tried without a repeat.
+    bool retryElsewhere;     ///< Another backend server may be tried, as the request has not run.
     std::string_view remedy; ///< What the caller or the operator can do.
 };
 
--- a/src/outcome/RetryBudget.cpp
+++ b/src/outcome/RetryBudget.cpp
@@ -6,7 +6,7 @@
 
 void RetryBudget::earn()
 {
-    left_ = std::min(most_, left_ + ratio_);
+    left_ = std::min(cap_, left_ + ratio_);
 }
 
 bool RetryBudget::spend()
--- a/src/outcome/RetryBudget.h
+++ b/src/outcome/RetryBudget.h
@@ -1,21 +1,26 @@
 /** \file
- * Retries come out of a budget that recent first attempts fill, so that a failing pool is never
- * asked more than a fixed part more than its callers ask.
+ * A budget for retries, filled by first attempts, so that a failing pool gets at most a fixed part
+ * more requests than its callers send.
  */
 #pragma once
 
 namespace limereel::outcome {
 
-/** A budget of retries. Not tied to time: an idle router keeps what it saved, up to the most. */
+/**
+ * A budget of retries. It does not depend on time: an idle router keeps what it has earned, up to
+ * the cap.
+ */
 class RetryBudget
 {
 public:
-    /** \param ratio retries earned by one first attempt, 0 to 1. \param most the budget's cap; it
-     * starts full. */
-    RetryBudget(double ratio, double most)
+    /**
+     * \param ratio retries earned by one first attempt, 0 to 1. \param cap the largest budget; it
+     * starts full.
+     */
+    RetryBudget(double ratio, double cap)
         : ratio_(ratio)
-        , most_(most)
-        , left_(most)
+        , cap_(cap)
+        , left_(cap)
     {
     }
 
@@ -29,7 +34,7 @@
 
 private:
     double ratio_;
-    double most_;
+    double cap_;
     double left_;
 };
 
--- a/test/correctness/FrameCheckTest.cpp
+++ b/test/correctness/FrameCheckTest.cpp
@@ -1,5 +1,5 @@
-// Whole answers: whatever order, doubles and foreign frames come, the caller sees its own, once, in
-// order.
+// Whatever order the frames arrive in, and whatever duplicates and foreign frames come with them,
+// the caller gets the frames of its own answer, each once and in order.
 
 #include "answer/FrameCheck.h"
 #include "answer/EventSplitter.h"
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(FrameCheckTest)
 
-BOOST_AUTO_TEST_CASE(take_shuffledDoubledAndForeignFrames_letsThroughTheAnswerAlone)
+BOOST_AUTO_TEST_CASE(take_shuffledDoubledAndForeignFrames_passesOnTheAnswerAlone)
 {
     for (std::uint64_t seed = 0; seed < 2000; ++seed) {
         std::mt19937_64 random(seed);
@@ -39,11 +39,11 @@
         }
         std::ranges::shuffle(wire, random);
         FrameCheck check("mine", 64);
-        std::vector<Frame> seen;
+        std::vector<Frame> passedOn;
         for (const Frame &frame : wire) {
-            check.take(frame, seen);
+            check.take(frame, passedOn);
         }
-        BOOST_TEST((seen == mine));
+        BOOST_TEST((passedOn == mine));
         BOOST_TEST(check.whole());
     }
 }
@@ -53,15 +53,15 @@
     const auto mine = answerOf("mine", 12);
     for (std::size_t missing = 0; missing < mine.size(); ++missing) {
         FrameCheck check("mine", 64);
-        std::vector<Frame> seen;
+        std::vector<Frame> passedOn;
         for (const Frame &frame : mine) {
             if (frame.sequence != missing) {
-                check.take(frame, seen);
+                check.take(frame, passedOn);
             }
         }
         BOOST_TEST(!check.whole());
         BOOST_TEST(check.next() == missing);
-        BOOST_TEST((seen
+        BOOST_TEST((passedOn
                     == std::vector<Frame>(mine.begin(),
                                           mine.begin() + static_cast<std::ptrdiff_t>(missing))));
     }
@@ -70,20 +70,20 @@
 BOOST_AUTO_TEST_CASE(take_tooManyEarlyFrames_overflows)
 {
     FrameCheck check("mine", 2);
-    std::vector<Frame> seen;
-    BOOST_TEST((check.take({"mine", 1, "", false}, seen) == FrameResult::Held));
-    BOOST_TEST((check.take({"mine", 2, "", false}, seen) == FrameResult::Held));
-    BOOST_TEST((check.take({"mine", 3, "", false}, seen) == FrameResult::Overflow));
-    BOOST_TEST(seen.empty());
+    std::vector<Frame> passedOn;
+    BOOST_TEST((check.take({"mine", 1, "", false}, passedOn) == FrameResult::Held));
+    BOOST_TEST((check.take({"mine", 2, "", false}, passedOn) == FrameResult::Held));
+    BOOST_TEST((check.take({"mine", 3, "", false}, passedOn) == FrameResult::Overflow));
+    BOOST_TEST(passedOn.empty());
 }
 
 BOOST_AUTO_TEST_CASE(take_frameAfterTheEnd_isAContradiction)
 {
     FrameCheck check("mine", 4);
-    std::vector<Frame> seen;
-    check.take({"mine", 0, "stop", true}, seen);
-    BOOST_TEST((check.take({"mine", 1, "more", false}, seen) == FrameResult::Contradiction));
-    BOOST_TEST(seen.size() == 1U);
+    std::vector<Frame> passedOn;
+    check.take({"mine", 0, "stop", true}, passedOn);
+    BOOST_TEST((check.take({"mine", 1, "more", false}, passedOn) == FrameResult::Contradiction));
+    BOOST_TEST(passedOn.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(eventSplitter_splitAtEveryOffset_givesTheSameEvents)
--- a/test/correctness/OutcomeTest.cpp
+++ b/test/correctness/OutcomeTest.cpp
@@ -1,5 +1,5 @@
-// Results, retries and claims: what is told is true, and nothing that may not be repeated runs
-// twice.
+// Results, retries and claims: the result reported is true, and no request that must not be
+// repeated runs twice.
 
 #include "outcome/Attempt.h"
 #include "outcome/AttemptSummary.h"
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(OutcomeTest)
 
-BOOST_AUTO_TEST_CASE(judge_everyPoint_saysNotRunOnlyWhereNothingCanHaveRun)
+BOOST_AUTO_TEST_CASE(classifyFailure_everyPoint_saysNotRunOnlyIfItCannotHaveRun)
 {
     for (const FailurePoint point : AllPoints) {
         for (const bool repeatable : {false, true}) {
@@ -95,7 +95,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(resultTable_everyRow_isSortedUniqueAndAgreesWithItsHundred)
+BOOST_AUTO_TEST_CASE(resultTable_everyRow_isSortedUniqueAndMatchesItsHundred)
 {
     const auto table = resultTable();
     BOOST_TEST(std::ranges::is_sorted(table, std::ranges::less_equal(), &ResultInfo::code));
@@ -106,27 +106,27 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(story_earlierAttemptMayHaveRun_lastRefusalDoesNotHideIt)
+BOOST_AUTO_TEST_CASE(attemptSummary_earlierAttemptMayHaveRun_lastRefusalDoesNotHideIt)
 {
-    AttemptSummary story;
-    story.add(classifyFailure(FailurePoint::AllSent, {true, false}));
-    const Verdict told = story.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false});
-    BOOST_TEST((told.ran == Ran::Unknown));
-    BOOST_TEST((told.code == ResultCode::AnswerLost));
-    story.add(classifyFailure(FailurePoint::AnswerBegun, {true, false}));
-    BOOST_TEST((story.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false}).ran == Ran::Ran));
+    AttemptSummary summary;
+    summary.add(classifyFailure(FailurePoint::AllSent, {true, false}));
+    const Verdict withoutRetry = summary.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false});
+    BOOST_TEST((withoutRetry.ran == Ran::Unknown));
+    BOOST_TEST((withoutRetry.code == ResultCode::AnswerLost));
+    summary.add(classifyFailure(FailurePoint::AnswerBegun, {true, false}));
+    BOOST_TEST((summary.finalVerdict({ResultCode::NoEngine, Ran::NotRun, false}).ran == Ran::Ran));
 }
 
-BOOST_AUTO_TEST_CASE(story_nothingLeftToTry_tellsWhyTheLatestAttemptFailed)
+BOOST_AUTO_TEST_CASE(attemptSummary_noEngineLeft_reportsLatestFailure)
 {
     const Verdict noEngine{ResultCode::NoEngine, Ran::NotRun, false};
-    AttemptSummary story;
-    BOOST_TEST((story.finalVerdict(noEngine).code == ResultCode::NoEngine));
-    story.add(classifyFailure(FailurePoint::RefusedUnstarted, {true, false}));
-    BOOST_TEST((story.finalVerdict(noEngine).code == ResultCode::BackendRefused));
+    AttemptSummary summary;
+    BOOST_TEST((summary.finalVerdict(noEngine).code == ResultCode::NoEngine));
+    summary.add(classifyFailure(FailurePoint::RefusedUnstarted, {true, false}));
+    BOOST_TEST((summary.finalVerdict(noEngine).code == ResultCode::BackendRefused));
 }
 
-BOOST_AUTO_TEST_CASE(retryBudget_failingPool_isAskedAtMostTheRatioMore)
+BOOST_AUTO_TEST_CASE(retryBudget_failingPool_getsAtMostTheRatioOfRetries)
 {
     RetryBudget budget(0.1, 10);
     int retries = 0;
@@ -140,7 +140,7 @@
     BOOST_TEST(retries >= 10000 / 10 - 10);
 }
 
-BOOST_AUTO_TEST_CASE(afterFailure_table_asStated)
+BOOST_AUTO_TEST_CASE(afterFailure_eachRow_decidesAsExpected)
 {
     struct Row
     {
@@ -153,18 +153,18 @@
     const Verdict lost = classifyFailure(FailurePoint::AllSent, {false, false});
     const Verdict lostRepeatable = classifyFailure(FailurePoint::AllSent, {true, false});
     const Verdict spent{ResultCode::RetryBudgetSpent, Ran::NotRun, false};
-    const auto told = [](Verdict verdict) {
+    const auto withoutRetry = [](Verdict verdict) {
         verdict.mayRetry = false;
         return verdict;
     };
     const Row rows[] = {
             {refused, 1, 5, {true, refused}},
-            {refused, 3, 5, {false, told(refused)}},
+            {refused, 3, 5, {false, withoutRetry(refused)}},
             {refused, 1, 0, {false, spent}},
             {lost, 1, 5, {false, lost}},
             {lostRepeatable, 1, 5, {true, lostRepeatable}},
-            // It may have run, so a spent budget must not turn it into a "not run".
-            {lostRepeatable, 1, 0, {false, told(lostRepeatable)}},
+            // It may have run, so a spent budget must not turn the result into "not run".
+            {lostRepeatable, 1, 0, {false, withoutRetry(lostRepeatable)}},
     };
     for (const Row &row : rows) {
         RetryBudget budget(0, row.budget);
@@ -212,16 +212,17 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(claim_naiveThatTrustsAConflict_losesItsOwnClaim)
+BOOST_AUTO_TEST_CASE(claim_lostAnswer_isReadBackAndRecognised)
 {
-    // Why a conflict after a lost answer is read back: the naive way refuses a claim that it holds.
+    // Shows why the claim is read back after a lost answer: an attempt that trusts a conflict would
+    // refuse a claim that it holds itself.
     Claim claim("mine", 5);
     BOOST_TEST((claim.begin() == ClaimStep::Create));
     BOOST_TEST((claim.onCreate(StoreAnswer::Lost) == ClaimStep::Read));
     BOOST_TEST((claim.onRead(StoreAnswer::Done, "mine") == ClaimStep::Send));
 }
 
-BOOST_AUTO_TEST_CASE(claim_platformAway_isRefusedAsUnavailableAndNeverSent)
+BOOST_AUTO_TEST_CASE(claim_platformUnreachable_isRefusedAsUnavailableAndNeverSent)
 {
     Claim claim("mine", 3);
     ClaimStep step = claim.begin();
@@ -232,7 +233,7 @@
     BOOST_TEST((claim.refusal() == ResultCode::ClaimUnavailable));
 }
 
-BOOST_AUTO_TEST_CASE(claim_platformGoesAfterLostAnswer_saysThatTheKeyMayBeTaken)
+BOOST_AUTO_TEST_CASE(claim_platformUnreachableAfterLostAnswer_saysThatTheKeyMayBeTaken)
 {
     Claim claim("mine", 3);
     claim.begin();
--- a/test/correctness/OutcomeTruthTest.cpp
+++ b/test/correctness/OutcomeTruthTest.cpp
@@ -1,6 +1,6 @@
-// Every point where a request can fail, for chats and services, repeatable or not: what the caller
-// is told against what the stand-ins say ran. Never a "not run" that ran, never two runs of what
-// may not be repeated.
+// Fails requests at every point, for chats and services, repeatable or not, and compares the result
+// reported to the caller with what ran at the stand-ins. A request that ran must never be reported
+// as "not run", and one that must not be repeated must never run twice.
 
 #include "services/PermitService.h"
 #include "support/Fleet.h"
@@ -16,9 +16,9 @@
 
 namespace {
 
-struct TruthFixture
+struct OutcomeTruthFixture
 {
-    TruthFixture()
+    OutcomeTruthFixture()
     {
         fleet.engines("hall-a", 3).serviceRunners("hall-a", 2, "calendar").routers("hall-a", 2);
         fleet.start();
@@ -51,7 +51,7 @@
     Fleet fleet;
 };
 
-/** A streamed chat that goes on for many seconds. */
+/** A streamed chat that lasts for many seconds. */
 http::Request longChat()
 {
     return {"POST", "/v1/chat/completions",
@@ -59,14 +59,14 @@
             R"({"model":"small","stream":true,"max_tokens":5000,"messages":[{"role":"user","content":"x"}]})"};
 }
 
-/** The rule that holds in every row. */
+/** The rule that must hold in every row. */
 void checkTruth(const CallerAnswer &answer, int runs, bool repeatable)
 {
-    const bool told = answer.status != 0;
-    if (told && answer.ran == "not-run") {
+    const bool answered = answer.status != 0;
+    if (answered && answer.ran == "not-run") {
         BOOST_TEST(runs == 0);
     }
-    if (told && answer.ran == "ran") {
+    if (answered && answer.ran == "ran") {
         BOOST_TEST(runs >= 1);
     }
     if (!repeatable) {
@@ -94,9 +94,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(OutcomeTruthTest, TruthFixture)
+BOOST_FIXTURE_TEST_SUITE(OutcomeTruthTest, OutcomeTruthFixture)
 
-BOOST_AUTO_TEST_CASE(chat_everyFaultOnEveryEngine_isToldTruly)
+BOOST_AUTO_TEST_CASE(chat_everyFaultOnEveryEngine_reportedResultIsTrue)
 {
     const ChatRow rows[] = {
             {"none", [](auto &) {}, "0", "0", 1, 1},
@@ -131,7 +131,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(chat_streamCutAfterTheCallerHasBytes_endsUnmistakably)
+BOOST_AUTO_TEST_CASE(chat_streamCutAfterTheCallerHasBytes_endsWithAnError)
 {
     onAllEngines([](auto &faults) { faults.loseEnd = 9; });
     const auto answer = fleet.chat(0, Turn{.chat = "c"});
@@ -142,7 +142,7 @@
     BOOST_TEST(answer.body.find("[DONE]") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(chat_streamBrokenAtEveryOffset_callerStillGetsItWhole)
+BOOST_AUTO_TEST_CASE(chat_streamBrokenAtEveryOffset_callerGetsWholeAnswer)
 {
     for (std::uint64_t offset = 1; offset <= 8; ++offset) {
         onAllEngines([offset](auto &faults) {
@@ -156,7 +156,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(chat_foreignRepeatedAndSwappedFrames_callerSeesItsOwnAlone)
+BOOST_AUTO_TEST_CASE(chat_foreignRepeatedAndSwappedFrames_callerGetsOnlyItsOwn)
 {
     onAllEngines([](auto &faults) {
         faults.foreignFrame = 3;
@@ -168,7 +168,7 @@
     BOOST_TEST(answer.text() == "[mine] t1 t2 t3 t4 t5 t6 t7");
 }
 
-BOOST_AUTO_TEST_CASE(chat_engineRestartsUnderItsAddress_callerGetsAnEndThatSaysSo)
+BOOST_AUTO_TEST_CASE(chat_engineRestartsUnderItsAddress_streamEndsWithAnError)
 {
     std::string body;
     fleet.await([&]() -> boost::asio::awaitable<void> {
@@ -189,7 +189,7 @@
     BOOST_TEST(fleet.engineRuns() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(service_everyFaultOnEveryRunner_isToldTrulyAndRunsOnce)
+BOOST_AUTO_TEST_CASE(service_everyFaultOnEveryRunner_reportedResultIsTrueAndRunsOnce)
 {
     const ServiceRow rows[] = {
             {"none", [](auto &) {}, "0", 1},
@@ -214,7 +214,8 @@
                 BOOST_TEST(answer.resultCode == row.code);
                 BOOST_TEST(runs == row.runs);
                 if (keyed) {
-                    // Asked again at the other router: it runs only if it was said not to have run.
+                    // Sent again to the other router: it runs only if the first result was "not
+                    // run".
                     const auto again = remind(1, row.name, key);
                     const int all = fleet.serviceRuns() - before;
                     BOOST_TEST(all <= 1);
@@ -227,7 +228,7 @@
 
 BOOST_AUTO_TEST_CASE(service_sameKeyAtBothRoutersAtTheSameMoment_runsOnce)
 {
-    // Few rounds: more would meet the router's part of the platform's write rate.
+    // Few rounds: more would reach the router's share of the platform's write rate.
     for (int round = 0; round < 4; ++round) {
         const std::string name = "round " + std::to_string(round);
         std::vector<CallerAnswer> answers;
@@ -261,7 +262,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(service_platformLosesTheClaimsAnswer_ownClaimIsRecognised)
+BOOST_AUTO_TEST_CASE(service_claimAnswerLost_ownClaimIsRecognised)
 {
     fleet.platform().faults.loseAnswers = 1;
     const auto answer = remind(0, "body", "key");
@@ -269,7 +270,7 @@
     BOOST_TEST(fleet.serviceRuns() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(service_platformAway_keyedCallIsRefusedAsNotRunWithWhenToComeBack)
+BOOST_AUTO_TEST_CASE(service_platformUnreachable_keyedCallIsRefusedAsNotRunWithRetryAfter)
 {
     fleet.platform().faults.down = true;
     const auto answer = remind(0, "body", "key");
@@ -280,7 +281,7 @@
     BOOST_TEST(remind(0, "unkeyed", "").resultCode == "0");
 }
 
-BOOST_AUTO_TEST_CASE(caller_leavesMidStream_engineIsToldToCancel)
+BOOST_AUTO_TEST_CASE(caller_closesMidStream_engineCancelsTheRequest)
 {
     fleet.await([&]() -> boost::asio::awaitable<void> {
         auto stream = co_await http::Stream::open(fleet.io(), fleet.context(0).settings.caller,
