--- a/src/outcome/Attempt.h
+++ b/src/outcome/Attempt.h
@@ -1,9 +1,9 @@
 /** \file
- * What may be said of an attempt that failed, and whether another may follow.
+ * Determines what can be said about a failed attempt, and whether another one may follow.
  *
- * The one rule behind the table: a request is "not run" only while no byte of it has left for a
- * backend server, or when that server itself refused it before it began. Everything else ran, or
- * nobody knows.
+ * One rule is behind the table: a request is "not run" only while no byte of it has been sent to a
+ * backend server, or when that server itself refused it before it began. In all other cases it ran,
+ * or it is unknown whether it ran.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace limereel::outcome {
 
 /** How far an attempt had come when it failed. */
-enum class Point : std::uint8_t {
+enum class FailurePoint : std::uint8_t {
     BeforeConnect,    ///< No connection was made.
     ConnectedUnsent,  ///< Connected; no byte of the request was written.
     PartSent,         ///< At least one byte was handed to the network.
@@ -29,10 +29,10 @@
 struct Request
 {
     bool repeatable = false;     ///< Running it twice does no harm.
-    bool callerHasBytes = false; ///< Part of an answer has gone to the caller.
+    bool callerHasBytes = false; ///< Part of an answer has been sent to the caller.
 };
 
-/** What the caller is told, and whether the router may try again first. */
+/** The result for the caller, and whether the router may retry first. */
 struct Verdict
 {
     ResultCode code = ResultCode::Ok;
@@ -42,10 +42,10 @@
     auto operator<=>(const Verdict &) const = default;
 };
 
-/** Judges an attempt that failed at \a point. */
-Verdict judge(Point point, const Request &request);
+/** Classifies an attempt that failed at \a point. */
+Verdict classifyFailure(FailurePoint point, const Request &request);
 
 /** The name of \a point for logs and counters. */
-const char *text(Point point);
+const char *text(FailurePoint point);
 
 } // namespace limereel::outcome
--- a/src/outcome/Story.cpp
+++ b/src/outcome/AttemptSummary.cpp
@@ -1,10 +1,10 @@
-#include "outcome/Story.h"
+#include "outcome/AttemptSummary.h"
 
 namespace limereel::outcome {
 
 namespace {
 
-// That it ran is a stronger word than that nobody knows.
+// "Ran" outweighs "unknown".
 int weight(Ran ran)
 {
     switch (ran) {
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void Story::add(const Verdict &verdict)
+void AttemptSummary::add(const Verdict &verdict)
 {
     latest_ = verdict;
     if (weight(verdict.ran) > weight(furthest_.ran)) {
@@ -28,13 +28,13 @@
     }
 }
 
-Verdict Story::tell(const Verdict &last) const
+Verdict AttemptSummary::finalVerdict(const Verdict &last) const
 {
     if (weight(furthest_.ran) > weight(last.ran)) {
         return furthest_;
     }
-    const bool nothingLeft = last.code == ResultCode::NoEngine && latest_.code != ResultCode::Ok;
-    return nothingLeft ? latest_ : last;
+    const bool noEngineLeft = last.code == ResultCode::NoEngine && latest_.code != ResultCode::Ok;
+    return noEngineLeft ? latest_ : last;
 }
 
 } // namespace limereel::outcome
