--- a/src/forward/Backend.cpp
+++ b/src/forward/Backend.cpp
@@ -7,7 +7,7 @@
 std::uint64_t ListedServer::hash() const
 {
     const std::uint64_t named = kernel::hashOf(id);
-    return born ? kernel::combine(named, *born) : named;
+    return startNumber ? kernel::combine(named, *startNumber) : named;
 }
 
 } // namespace limereel::forward
--- a/src/forward/Backend.h
+++ b/src/forward/Backend.h
@@ -22,7 +22,8 @@
     std::uint32_t slots = 1;
     bool engine = false; ///< A model engine, not a plain service.
     bool leaving = false;
-    std::optional<std::uint64_t> born; ///< Grows with each start of the same id; nothing: untold.
+    std::optional<std::uint64_t>
+            startNumber; ///< Grows with each start of the same id; nothing: untold.
 
     /** Names this life of the server to other boxes: what they knew of an earlier one of the same
      * id doesn't hold for it. */
--- a/src/forward/RestBook.h
+++ b/src/forward/BackoffTable.h
@@ -12,11 +12,11 @@
 namespace limereel::forward {
 
 /** The rests of one box. Pure: time is handed in. */
-class RestBook
+class BackoffTable
 {
 public:
     /** \param longest what is kept of a longer rest. */
-    explicit RestBook(kernel::Duration longest)
+    explicit BackoffTable(kernel::Duration longest)
         : longest_(longest)
     {
     }
--- a/src/forward/Call.h
+++ b/src/forward/Call.h
@@ -39,7 +39,7 @@
     std::string id;
     std::string host;
     std::string key;                          ///< Secret: never logged, never passed on.
-    kernel::Duration patience{};              ///< How long the caller waits; zero: untold.
+    kernel::Duration callerTimeout{};         ///< How long the caller waits; zero: untold.
     std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has.
     Prompt prompt;
 
@@ -71,9 +71,9 @@
     kernel::Duration coldFor{}; ///< How long the backend server is still cold; zero: untold.
     /** How long the backend server wants nothing more from this box, as it has turned it away;
      * nothing: it doesn't say. */
-    std::optional<kernel::Duration> restFor;
-    bool restUnreadable = false; ///< It says so in a way that can't be read.
-    bool leaving = false;        ///< The backend server is about to end.
+    std::optional<kernel::Duration> backoffFor;
+    bool backoffUnreadable = false; ///< It says so in a way that can't be read.
+    bool leaving = false;           ///< The backend server is about to end.
 
     auto operator<=>(const AnswerHead &) const = default;
 };
--- a/src/forward/StartLedger.cpp
+++ b/src/forward/ColdRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "forward/StartLedger.h"
+#include "forward/ColdRateLimiter.h"
 
 #include "kernel/decisions/Name.h"
 
@@ -25,19 +25,19 @@
 
 } // namespace
 
-void StartLedger::setBound(double excess, double slack)
+void ColdRateLimiter::setBound(double excess, double slack)
 {
     policy_.excess = excess;
     policy_.slack = slack;
 }
 
-double StartLedger::bound(double perSecond) const
+double ColdRateLimiter::bound(double perSecond) const
 {
     const double bound = perSecond * policy_.excess + policy_.slack;
     return bound > 0 ? bound : perSecond;
 }
 
-StartLedger::Grants &StartLedger::grantsOf(std::uint64_t server, kernel::Instant now)
+ColdRateLimiter::Grants &ColdRateLimiter::grantsOf(std::uint64_t server, kernel::Instant now)
 {
     const auto [place, added] = grants_.try_emplace(server);
     Grants &grants = place->second;
@@ -51,7 +51,7 @@
     return grants;
 }
 
-bool StartLedger::grant(const StartAsk &ask, const FleetPart &fleet, kernel::Instant now)
+bool ColdRateLimiter::grant(const ColdSend &ask, const FleetPart &fleet, kernel::Instant now)
 {
     const Grants &grants = grantsOf(ask.server, now);
     double part = policy_.settledPart;
@@ -62,13 +62,14 @@
     return take(ask, part * bound(ask.perSecond) * partOf(fleet), now);
 }
 
-bool StartLedger::grantAlone(const StartAsk &ask, const FleetPart &fleet, kernel::Instant now)
+bool ColdRateLimiter::grantWithoutOwner(const ColdSend &ask, const FleetPart &fleet,
+                                        kernel::Instant now)
 {
     const double all = static_cast<double>(std::max<std::size_t>(fleet.greatest, 1));
-    return take(ask, policy_.alonePart * bound(ask.perSecond) / all, now);
+    return take(ask, policy_.ownerlessPart * bound(ask.perSecond) / all, now);
 }
 
-bool StartLedger::take(const StartAsk &ask, double rate, kernel::Instant now)
+bool ColdRateLimiter::take(const ColdSend &ask, double rate, kernel::Instant now)
 {
     Grants &grants = grantsOf(ask.server, now);
     const double whole = std::floor(rate);
@@ -82,7 +83,7 @@
     return true;
 }
 
-void StartLedger::expire(kernel::Instant now)
+void ColdRateLimiter::expire(kernel::Instant now)
 {
     std::erase_if(grants_,
                   [&](const auto &item) { return now - item.second.asked >= policy_.window; });
--- a/src/forward/StartLedger.h
+++ b/src/forward/ColdRateLimiter.h
@@ -5,7 +5,7 @@
  * most of it by its own clock, and boxes may see two owners for a while, or none.
  *
  * - One that has owned the server for some seconds by its own view is most likely the only one and
- *   grants \c StartPolicy::settledPart of the bound.
+ *   grants \c ColdRatePolicy::settledPart of the bound.
  * - Any other grants so little that what it may grant twice, after a restart or beside another
  *   owner, fits beside it; in the first window in which it is asked, half of that.
  * - What is left is for boxes that have no owner's word.
@@ -26,7 +26,7 @@
 namespace limereel::forward {
 
 /** The bound of the whole fleet on one cold server, and how it is shared out. */
-struct StartPolicy
+struct ColdRatePolicy
 {
     double excess = 0; ///< Multiple of what the server bears; 0 with no slack: just that.
     double slack = 0;  ///< Requests a second beyond it.
@@ -35,14 +35,14 @@
      * with an eighth of a core is held up for 0.2 to 0.3 s now and then. */
     kernel::Duration window = 1250ms;
 
-    double settledPart = 0.5; ///< Of the bound, for an owner of some seconds.
-    double ownerPart = 0.25;  ///< Of the bound, for any other owner.
-    double firstPart = 0.5;   ///< Of that, in the first window in which it is asked.
-    double alonePart = 0.05;  ///< Of the bound, for all boxes without an owner's word together.
+    double settledPart = 0.5;    ///< Of the bound, for an owner of some seconds.
+    double ownerPart = 0.25;     ///< Of the bound, for any other owner.
+    double firstPart = 0.5;      ///< Of that, in the first window in which it is asked.
+    double ownerlessPart = 0.05; ///< Of the bound, for all boxes without an owner's word together.
 };
 
 /** One request that is to go to a cold server. */
-struct StartAsk
+struct ColdSend
 {
     std::uint64_t server = 0;
     double perSecond = 0;  ///< What the server bears.
@@ -58,10 +58,10 @@
 };
 
 /** The ledger of one box. Pure: time is handed in. */
-class StartLedger
+class ColdRateLimiter
 {
 public:
-    explicit StartLedger(StartPolicy policy = {})
+    explicit ColdRateLimiter(ColdRatePolicy policy = {})
         : policy_(policy)
     {
     }
@@ -70,10 +70,10 @@
     void setBound(double excess, double slack);
 
     /** Counts and grants a request as the server's owner; false if it has had its share. */
-    bool grant(const StartAsk &ask, const FleetPart &fleet, kernel::Instant now);
+    bool grant(const ColdSend &ask, const FleetPart &fleet, kernel::Instant now);
 
     /** The same for the box's own request, without an owner's word. */
-    bool grantAlone(const StartAsk &ask, const FleetPart &fleet, kernel::Instant now);
+    bool grantWithoutOwner(const ColdSend &ask, const FleetPart &fleet, kernel::Instant now);
 
     /** Drops what doesn't count any more. */
     void expire(kernel::Instant now);
@@ -91,9 +91,9 @@
     };
 
     Grants &grantsOf(std::uint64_t server, kernel::Instant now);
-    bool take(const StartAsk &ask, double rate, kernel::Instant now);
+    bool take(const ColdSend &ask, double rate, kernel::Instant now);
 
-    StartPolicy policy_;
+    ColdRatePolicy policy_;
     std::unordered_map<std::uint64_t, Grants> grants_; ///< By server.
 };
 
--- a/src/forward/ColdStarts.cpp
+++ b/src/forward/ColdStarts.cpp
@@ -31,7 +31,7 @@
     return policy != services_.end() && policy->second.perSecond > 0;
 }
 
-void ColdStarts::noteTold(std::uint64_t server, kernel::Duration left, kernel::Instant now)
+void ColdStarts::noteReported(std::uint64_t server, kernel::Duration left, kernel::Instant now)
 {
     if (left <= kernel::Duration::zero()) {
         return;
@@ -56,7 +56,8 @@
         return {};
     }
     const bool everStarted = known->second.started != kernel::Instant();
-    const kernel::Instant warm = everStarted ? known->second.started + policy->second.lasts : now;
+    const kernel::Instant warm =
+            everStarted ? known->second.started + policy->second.duration : now;
     const kernel::Instant until = std::max(warm, known->second.told);
     return until > now ? ColdState{until - now, policy->second.perSecond} : ColdState{};
 }
--- a/src/forward/ColdStarts.h
+++ b/src/forward/ColdStarts.h
@@ -21,8 +21,8 @@
 /** How the servers of one service start. */
 struct ColdPolicy
 {
-    kernel::Duration lasts{}; ///< From a start on.
-    double perSecond = 0;     ///< Requests that a cold server bears; 0: no bound.
+    kernel::Duration duration{}; ///< From a start on.
+    double perSecond = 0;        ///< Requests that a cold server bears; 0: no bound.
 
     auto operator<=>(const ColdPolicy &) const = default;
 };
@@ -48,7 +48,7 @@
     bool bounded(const std::string &service) const;
 
     /** The server says that it is cold for \a left longer, or another box says so of it. */
-    void noteTold(std::uint64_t server, kernel::Duration left, kernel::Instant now);
+    void noteReported(std::uint64_t server, kernel::Duration left, kernel::Instant now);
 
     /** The server has started, or may have started, not later than now. */
     void noteStarted(std::uint64_t server, kernel::Instant now) { known_[server].started = now; }
--- a/src/forward/CrashBook.cpp
+++ b/src/forward/CrashTable.cpp
@@ -1,4 +1,4 @@
-#include "forward/CrashBook.h"
+#include "forward/CrashTable.h"
 
 #include <algorithm>
 #include <iterator>
@@ -20,26 +20,26 @@
 
 } // namespace
 
-const char *text(Standing standing)
+const char *text(SendRestriction restriction)
 {
-    switch (standing) {
-    case Standing::Free:
+    switch (restriction) {
+    case SendRestriction::Free:
         return "free";
-    case Standing::Alone:
+    case SendRestriction::Alone:
         return "alone";
-    case Standing::Stopped:
+    case SendRestriction::Stopped:
         break;
     }
     return "stopped";
 }
 
-std::uint32_t timesStopped(const CrashRecord &record)
+std::uint32_t netFailedTrials(const CrashRecord &record)
 {
     const std::uint32_t pardons = std::min(record.round, MostPardons);
     return record.failedTrials > pardons ? record.failedTrials - pardons : 0;
 }
 
-CrashRecord joined(const CrashRecord &one, const CrashRecord &other)
+CrashRecord mergedRecord(const CrashRecord &one, const CrashRecord &other)
 {
     if (one.round != other.round) {
         return one.round > other.round ? one : other;
@@ -53,52 +53,53 @@
     return both;
 }
 
-kernel::Duration CrashBook::hold(std::uint32_t times) const
+kernel::Duration CrashTable::hold(std::uint32_t times) const
 {
-    if (times >= policy_.mostTrials) {
+    if (times >= policy_.maxFailedTrials) {
         return policy_.remembered;
     }
-    kernel::Duration held = policy_.firstHold;
+    kernel::Duration held = policy_.firstBlock;
     for (std::uint32_t time = 1; time < times; ++time) {
-        held *= policy_.holdGrowth;
+        held *= policy_.blockGrowth;
     }
     return std::min(held, policy_.remembered);
 }
 
-Standing CrashBook::standing(const Entry &entry, kernel::Instant now) const
+SendRestriction CrashTable::restriction(const Entry &entry, kernel::Instant now) const
 {
     const CrashRecord &record = entry.record;
-    if (const std::uint32_t times = timesStopped(record); times > 0) {
-        const bool held = times >= policy_.mostTrials || now - entry.stoppedAt < hold(times);
-        return held ? Standing::Stopped : Standing::Alone;
+    if (const std::uint32_t times = netFailedTrials(record); times > 0) {
+        const bool held = times >= policy_.maxFailedTrials || now - entry.stoppedAt < hold(times);
+        return held ? SendRestriction::Stopped : SendRestriction::Alone;
     }
-    return record.servers.size() >= policy_.freeEnds ? Standing::Alone : Standing::Free;
+    return record.servers.size() >= policy_.crashesBeforeAlone ? SendRestriction::Alone
+                                                               : SendRestriction::Free;
 }
 
-Standing CrashBook::standing(const RequestIdentity &request, kernel::Instant now)
+SendRestriction CrashTable::restriction(const RequestIdentity &request, kernel::Instant now)
 {
     const auto place = entries_.find(request);
     if (place == entries_.end()) {
-        return Standing::Free;
+        return SendRestriction::Free;
     }
     if (!isEmpty(place->second.record)) {
         place->second.changed = now;
     }
-    return standing(place->second, now);
+    return restriction(place->second, now);
 }
 
-kernel::Duration CrashBook::heldFor(const RequestIdentity &request, kernel::Instant now) const
+kernel::Duration CrashTable::stoppedFor(const RequestIdentity &request, kernel::Instant now) const
 {
     const auto place = entries_.find(request);
-    if (place == entries_.end() || standing(place->second, now) != Standing::Stopped) {
+    if (place == entries_.end() || restriction(place->second, now) != SendRestriction::Stopped) {
         return kernel::Duration::zero();
     }
     const kernel::Instant until =
-            place->second.stoppedAt + hold(timesStopped(place->second.record));
+            place->second.stoppedAt + hold(netFailedTrials(place->second.record));
     return std::max<kernel::Duration>(until - now, 1s);
 }
 
-CrashBook::Entry &CrashBook::entry(const RequestIdentity &request)
+CrashTable::Entry &CrashTable::entry(const RequestIdentity &request)
 {
     const auto place = entries_.find(request);
     if (place != entries_.end()) {
@@ -113,21 +114,22 @@
 
 // The one that says least goes: one under which few servers ended, and of those the oldest. So a
 // flood of other requests doesn't let a stopped one through.
-void CrashBook::makeRoom()
+void CrashTable::makeRoom()
 {
     if (entries_.size() < policy_.records) {
         return;
     }
     const auto says = [](const auto &item) {
         const Entry &entry = item.second;
-        return std::tuple(timesStopped(entry.record), entry.record.servers.size(), entry.changed);
+        return std::tuple(netFailedTrials(entry.record), entry.record.servers.size(),
+                          entry.changed);
     };
     const auto least = std::ranges::min_element(entries_, {}, says);
     const RequestIdentity request = least->first;
     drop(request);
 }
 
-void CrashBook::drop(const RequestIdentity &request)
+void CrashTable::drop(const RequestIdentity &request)
 {
     const auto shape = shapes_.find(request.shape);
     if (--shape->second == 0) {
@@ -136,7 +138,7 @@
     entries_.erase(request);
 }
 
-bool CrashBook::change(const CrashRecord &record, kernel::Instant now)
+bool CrashTable::change(const CrashRecord &record, kernel::Instant now)
 {
     if (this->record(record.request) == record) {
         return false;
@@ -147,12 +149,12 @@
     }
     known.record = record;
     known.changed = now;
-    known.shared = known.shared || standing(known, now) != Standing::Free;
+    known.shared = known.shared || restriction(known, now) != SendRestriction::Free;
     return true;
 }
 
-bool CrashBook::noteEnd(const RequestIdentity &request, std::uint64_t server, bool alone,
-                        kernel::Instant now)
+bool CrashTable::noteCrash(const RequestIdentity &request, std::uint64_t server, bool alone,
+                           kernel::Instant now)
 {
     CrashRecord seen = record(request);
     if (std::ranges::binary_search(seen.servers, server)) {
@@ -164,7 +166,7 @@
     return change(seen, now);
 }
 
-bool CrashBook::forget(const RequestIdentity &request, kernel::Instant now)
+bool CrashTable::forget(const RequestIdentity &request, kernel::Instant now)
 {
     const CrashRecord known = record(request);
     if (isEmpty(known)) {
@@ -173,18 +175,18 @@
     return change({request, known.round + 1, {}, 0}, now);
 }
 
-bool CrashBook::take(const CrashRecord &told, kernel::Instant now)
+bool CrashTable::merge(const CrashRecord &told, kernel::Instant now)
 {
-    return change(joined(record(told.request), told), now);
+    return change(mergedRecord(record(told.request), told), now);
 }
 
-CrashRecord CrashBook::record(const RequestIdentity &request) const
+CrashRecord CrashTable::record(const RequestIdentity &request) const
 {
     const auto place = entries_.find(request);
     return place == entries_.end() ? CrashRecord{.request = request} : place->second.record;
 }
 
-std::vector<CrashRecord> CrashBook::shared() const
+std::vector<CrashRecord> CrashTable::shared() const
 {
     std::vector<CrashRecord> records;
     for (const auto &[request, entry] : entries_) {
@@ -195,17 +197,18 @@
     return records;
 }
 
-bool CrashBook::isShared(const RequestIdentity &request) const
+bool CrashTable::isShared(const RequestIdentity &request) const
 {
     const auto place = entries_.find(request);
     return place != entries_.end() && place->second.shared;
 }
 
-void CrashBook::expire(kernel::Instant now)
+void CrashTable::expire(kernel::Instant now)
 {
     std::vector<RequestIdentity> old;
     for (const auto &[request, entry] : entries_) {
-        const kernel::Duration kept = isEmpty(entry.record) ? policy_.emptyFor : policy_.remembered;
+        const kernel::Duration kept =
+                isEmpty(entry.record) ? policy_.clearedKept : policy_.remembered;
         if (now - entry.changed >= kept) {
             old.push_back(request);
         }
--- a/src/forward/CrashBook.h
+++ b/src/forward/CrashTable.h
@@ -40,38 +40,38 @@
 /** How often the request counts as having ended a server when it ran alone. Each time that all was
  * forgotten as it got a whole answer makes up for one such end: what was served before only ran
  * beside another one, most likely. 0: it isn't stopped. */
-std::uint32_t timesStopped(const CrashRecord &record);
+std::uint32_t netFailedTrials(const CrashRecord &record);
 
 /** What both know together. Both are of the same request. */
-CrashRecord joined(const CrashRecord &one, const CrashRecord &other);
+CrashRecord mergedRecord(const CrashRecord &one, const CrashRecord &other);
 
 /** How a request may be sent. */
-enum class Standing : std::uint8_t {
+enum class SendRestriction : std::uint8_t {
     Free,   ///< As any other.
     Alone,  ///< One send at a time in the whole fleet.
     Stopped ///< Not at all.
 };
 
 /** The name of \a standing for logs and counters. */
-const char *text(Standing standing);
+const char *text(SendRestriction restriction);
 
 /** The settings of the book. */
 struct CrashPolicy
 {
-    std::size_t freeEnds = 2;          ///< Servers that end before the request runs alone.
-    kernel::Duration firstHold = 2min; ///< A stopped request runs alone again after this,
-    int holdGrowth = 8;                ///< each further time after so many times as long,
-    std::uint32_t mostTrials = 3;      ///< and after so many failed trials not any more.
-    kernel::Duration remembered = 24h; ///< Since a record changed or was asked for.
-    kernel::Duration emptyFor = 60s;   ///< So long others are told that all is forgotten.
-    std::size_t records = 8192;        ///< Then those that say least give way.
+    std::size_t crashesBeforeAlone = 2; ///< Servers that end before the request runs alone.
+    kernel::Duration firstBlock = 2min; ///< A stopped request runs alone again after this,
+    int blockGrowth = 8;                ///< each further time after so many times as long,
+    std::uint32_t maxFailedTrials = 3;  ///< and after so many failed trials not any more.
+    kernel::Duration remembered = 24h;  ///< Since a record changed or was asked for.
+    kernel::Duration clearedKept = 60s; ///< So long others are told that all is forgotten.
+    std::size_t records = 8192;         ///< Then those that say least give way.
 };
 
 /** The book of one box. Pure: time is handed in. */
-class CrashBook
+class CrashTable
 {
 public:
-    explicit CrashBook(CrashPolicy policy = {})
+    explicit CrashTable(CrashPolicy policy = {})
         : policy_(policy)
     {
     }
@@ -79,22 +79,22 @@
     /** Whether anything is known of a request of this shape. */
     bool concerns(std::uint64_t shape) const { return shapes_.contains(shape); }
 
-    Standing standing(const RequestIdentity &request, kernel::Instant now);
+    SendRestriction restriction(const RequestIdentity &request, kernel::Instant now);
 
     /** When a stopped request may run again; the longest time that is remembered if never. */
-    kernel::Duration heldFor(const RequestIdentity &request, kernel::Instant now) const;
+    kernel::Duration stoppedFor(const RequestIdentity &request, kernel::Instant now) const;
 
     /** A server ended under the request. \param server the life of it. \param alone it was sent
      * alone. \return whether that is news. */
-    bool noteEnd(const RequestIdentity &request, std::uint64_t server, bool alone,
-                 kernel::Instant now);
+    bool noteCrash(const RequestIdentity &request, std::uint64_t server, bool alone,
+                   kernel::Instant now);
 
     /** The request was answered, or an operator lifts it: all is forgotten. \return whether there
      * was anything. */
     bool forget(const RequestIdentity &request, kernel::Instant now);
 
     /** Takes in what another box knows. \return whether that is news. */
-    bool take(const CrashRecord &record, kernel::Instant now);
+    bool merge(const CrashRecord &record, kernel::Instant now);
 
     /** What is known of the request; an empty record if nothing is. */
     CrashRecord record(const RequestIdentity &request) const;
@@ -118,7 +118,7 @@
         kernel::Instant stoppedAt; ///< When its last failed trial was heard of.
     };
 
-    Standing standing(const Entry &entry, kernel::Instant now) const;
+    SendRestriction restriction(const Entry &entry, kernel::Instant now) const;
     kernel::Duration hold(std::uint32_t times) const;
     Entry &entry(const RequestIdentity &request);
     void makeRoom();
--- a/src/forward/Dialect.h
+++ b/src/forward/Dialect.h
@@ -18,7 +18,7 @@
 namespace limereel::forward {
 
 /** What is added to a caller's request on its way to a backend server. */
-struct SendOrder
+struct SendContext
 {
     ListedServer server;
     kernel::Duration left{};                  ///< Until the caller's deadline.
@@ -35,7 +35,7 @@
     std::function<tl::expected<Call, std::string>(const http::Request &)> readCall;
 
     /** The request as it goes to a backend server. */
-    std::function<http::Request(const http::Request &, const SendOrder &)> writeRequest;
+    std::function<http::Request(const http::Request &, const SendContext &)> writeRequest;
 
     std::function<AnswerHead(int status, const http::Fields &)> readHead;
 
--- a/src/forward/FleetMemory.cpp
+++ b/src/forward/FleetSizeEstimate.cpp
@@ -1,10 +1,10 @@
-#include "forward/FleetMemory.h"
+#include "forward/FleetSizeEstimate.h"
 
 #include <algorithm>
 
 namespace limereel::forward {
 
-std::size_t FleetMemory::note(std::size_t seen, kernel::Instant now)
+std::size_t FleetSizeEstimate::note(std::size_t seen, kernel::Instant now)
 {
     const std::size_t boxes = std::max<std::size_t>(seen, 1);
     if (!heard_) {
--- a/src/forward/FleetMemory.h
+++ b/src/forward/FleetSizeEstimate.h
@@ -14,7 +14,7 @@
 namespace limereel::forward {
 
 /** The settings of the memory. */
-struct FleetMemoryPolicy
+struct FleetSizeEstimatePolicy
 {
     std::size_t guess = 32;               ///< Before the others can have been heard of.
     kernel::Duration guessFor = 3s;       ///< From the first word.
@@ -22,10 +22,10 @@
 };
 
 /** The memory of one box. Pure: time is handed in. */
-class FleetMemory
+class FleetSizeEstimate
 {
 public:
-    explicit FleetMemory(FleetMemoryPolicy policy = {})
+    explicit FleetSizeEstimate(FleetSizeEstimatePolicy policy = {})
         : policy_(policy)
         , boxes_(policy.guess)
     {
@@ -35,7 +35,7 @@
     std::size_t note(std::size_t seen, kernel::Instant now);
 
 private:
-    FleetMemoryPolicy policy_;
+    FleetSizeEstimatePolicy policy_;
     std::size_t boxes_;
     bool heard_ = false;  ///< Some word came.
     bool guessed_ = true; ///< boxes_ is the guess.
--- a/src/forward/HallBook.cpp
+++ b/src/forward/HallReachability.cpp
@@ -1,4 +1,4 @@
-#include "forward/HallBook.h"
+#include "forward/HallReachability.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
     }
 }
 
-std::size_t HallSigns::cutOff(kernel::Duration silence) const
+std::size_t HallSigns::countUnreachable(kernel::Duration silence) const
 {
     const bool nothingLately = quietFor_ > silence;
     const auto count = std::ranges::count_if(quiet_, [&](const ServerSign &sign) {
@@ -20,32 +20,34 @@
     return static_cast<std::size_t>(count);
 }
 
-kernel::Instant HallBook::heard(const std::string &hall) const
+kernel::Instant HallReachability::heard(const std::string &hall) const
 {
     const auto place = heard_.find(hall);
     return place == heard_.end() ? kernel::Instant() : place->second;
 }
 
-void HallBook::putOff(const std::function<kernel::Duration(kernel::Instant since)> &standstill)
+void HallReachability::shiftTimes(
+        const std::function<kernel::Duration(kernel::Instant since)> &stalledFor)
 {
     for (auto &[hall, heard] : heard_) {
-        heard += standstill(heard);
+        heard += stalledFor(heard);
     }
 }
 
-bool HallBook::doubted(const HallSigns &signs) const
+bool HallReachability::isSuspected(const HallSigns &signs) const
 {
-    return signs.cutOff(policy_.silence) >= policy_.quietServers;
+    return signs.countUnreachable(policy_.silence) >= policy_.quietServers;
 }
 
-std::set<std::string> HallBook::closed(const std::map<std::string, std::size_t> &quietServers,
-                                       const SignsOf &signsOf, kernel::Instant now) const
+std::set<std::string>
+HallReachability::closed(const std::map<std::string, std::size_t> &quietServers,
+                         const SignsOf &signsOf, kernel::Instant now) const
 {
     std::set<std::string> closed;
     for (const auto &[hall, count] : quietServers) {
         const auto last = attempts_.find(hall);
         const bool lately = last != attempts_.end() && now - last->second < policy_.trial;
-        if (count >= policy_.quietServers && lately && doubted(signsOf(hall))) {
+        if (count >= policy_.quietServers && lately && isSuspected(signsOf(hall))) {
             closed.insert(hall);
         }
     }
--- a/src/forward/HallBook.h
+++ b/src/forward/HallReachability.h
@@ -51,7 +51,7 @@
     void add(const ServerSign &sign);
 
     /** Servers that say that their hall is cut off. */
-    std::size_t cutOff(kernel::Duration silence) const;
+    std::size_t countUnreachable(kernel::Duration silence) const;
 
 private:
     kernel::Instant heard_;
@@ -60,12 +60,12 @@
 };
 
 /** The book of one box. Pure: time is handed in. */
-class HallBook
+class HallReachability
 {
 public:
     using SignsOf = std::function<HallSigns(const std::string &hall)>;
 
-    explicit HallBook(HallPolicy policy)
+    explicit HallReachability(HallPolicy policy)
         : policy_(policy)
     {
     }
@@ -80,10 +80,10 @@
     kernel::Instant heard(const std::string &hall) const;
 
     /** Puts the time of each hall's last bytes off by what \a standstill says of it. */
-    void putOff(const std::function<kernel::Duration(kernel::Instant since)> &standstill);
+    void shiftTimes(const std::function<kernel::Duration(kernel::Instant since)> &stalledFor);
 
     /** Whether the way to a hall is doubted. */
-    bool doubted(const HallSigns &signs) const;
+    bool isSuspected(const HallSigns &signs) const;
 
     /** The doubted halls that had a request lately: they get the next one after a while.
      * \param quietServers how many there are, by hall. */
--- a/src/forward/LeavingBook.cpp
+++ b/src/forward/LeavingServers.cpp
@@ -1,13 +1,14 @@
-#include "forward/LeavingBook.h"
+#include "forward/LeavingServers.h"
 
 namespace limereel::forward {
 
-bool LeavingBook::note(std::uint64_t life, kernel::Instant now)
+bool LeavingServers::note(std::uint64_t life, kernel::Instant now)
 {
     return needed_.insert_or_assign(life, now).second;
 }
 
-void LeavingBook::expire(kernel::Instant now, const std::function<bool(std::uint64_t life)> &listed)
+void LeavingServers::expire(kernel::Instant now,
+                            const std::function<bool(std::uint64_t life)> &listed)
 {
     for (auto &[life, needed] : needed_) {
         if (listed(life)) {
--- a/src/forward/LeavingBook.h
+++ b/src/forward/LeavingServers.h
@@ -13,11 +13,11 @@
 namespace limereel::forward {
 
 /** The words of one box's servers. Pure: time is handed in. */
-class LeavingBook
+class LeavingServers
 {
 public:
     /** \param keptFor how long a word is kept after it was last needed. */
-    explicit LeavingBook(kernel::Duration keptFor)
+    explicit LeavingServers(kernel::Duration keptFor)
         : keptFor_(keptFor)
     {
     }
--- a/src/forward/PlaceLedger.cpp
+++ b/src/forward/PlaceLedger.cpp
@@ -27,7 +27,7 @@
     double weights = 0;
     double words = 0;
     for (const auto &[box, word] : place->second) {
-        if (now - word.at <= policy_.wordAge) {
+        if (now - word.at <= policy_.reportMaxAge) {
             const double weight = 1 / chanceToHear(word.asks, fleet);
             sum += weight * word.load;
             weights += weight;
@@ -39,7 +39,7 @@
     }
     // Few words may all be of busy boxes: they count as if idle boxes had spoken beside them.
     const bool allSpoke = words >= static_cast<double>(fleet.boxes);
-    const double sure = allSpoke ? 1 : words / (words + policy_.idleWords);
+    const double sure = allSpoke ? 1 : words / (words + policy_.idleReports);
     const auto engines = static_cast<double>(std::max<std::size_t>(fleet.engines, 1));
     return sure * sum / weights * static_cast<double>(fleet.boxes) / engines;
 }
@@ -53,7 +53,7 @@
         return {true, load};
     }
     const double mean = meanLoad(ask.service, fleet, now);
-    const double bound = policy_.loadMultiple * mean * policy_.keptPart + policy_.beyond;
+    const double bound = policy_.loadMultiple * mean * policy_.grantedPart + policy_.beyond;
     if (load + 1 > std::max(bound, 1.0)) {
         return {false, load};
     }
@@ -76,8 +76,9 @@
     }
     std::erase_if(engines_, [](const auto &item) { return item.second.empty(); });
     for (auto &[service, boxes] : words_) {
-        std::erase_if(boxes,
-                      [&](const auto &item) { return now - item.second.at > policy_.wordAge; });
+        std::erase_if(boxes, [&](const auto &item) {
+            return now - item.second.at > policy_.reportMaxAge;
+        });
     }
 }
 
--- a/src/forward/PlaceLedger.h
+++ b/src/forward/PlaceLedger.h
@@ -21,12 +21,12 @@
 /** The settings of a ledger. */
 struct PlacePolicy
 {
-    double loadMultiple = 2;       ///< Most load of an engine, as a multiple of the mean.
-    double beyond = 3;             ///< Added to it.
-    double keptPart = 0.7;         ///< Part of the multiple that is granted.
-    kernel::Duration lease = 20s;  ///< Of a place that nobody gives back.
-    kernel::Duration wordAge = 3s; ///< How long the word of a box counts.
-    double idleWords = 1;          ///< Words of idle boxes that are added unless all spoke.
+    double loadMultiple = 2;            ///< Most load of an engine, as a multiple of the mean.
+    double beyond = 3;                  ///< Added to it.
+    double grantedPart = 0.7;           ///< Part of the multiple that is granted.
+    kernel::Duration lease = 20s;       ///< Of a place that nobody gives back.
+    kernel::Duration reportMaxAge = 3s; ///< How long the word of a box counts.
+    double idleReports = 1;             ///< Words of idle boxes that are added unless all spoke.
 };
 
 /** One ask for a place. */
@@ -37,7 +37,7 @@
     std::uint64_t service = 0;
     std::uint64_t box = 0;
     std::uint32_t boxLoad = 0; ///< What the box runs on the whole service.
-    double boxAsks = 1;        ///< Asks of the box for the service within the last \c wordAge.
+    double boxAsks = 1;        ///< Asks of the box for the service within the last \c reportMaxAge.
 };
 
 /** How many share the load. */
--- a/src/forward/ServerChoice.cpp
+++ b/src/forward/ServerChoice.cpp
@@ -17,25 +17,25 @@
 
 const ServerRecord *ServerChoice::idlest(std::mt19937_64 &random) const
 {
-    const ServerRecord *unused = idlestUnused(random);
-    const ServerRecord *noted = idlestNoted(random);
-    if (unused == nullptr || noted == nullptr) {
-        return unused == nullptr ? noted : unused;
+    const ServerRecord *untracked = idlestUnused(random);
+    const ServerRecord *tracked = idlestNoted(random);
+    if (untracked == nullptr || tracked == nullptr) {
+        return untracked == nullptr ? tracked : untracked;
     }
-    return cost(*noted) < cost(*unused) ? noted : unused;
+    return cost(*tracked) < cost(*untracked) ? tracked : untracked;
 }
 
 const ServerRecord *ServerChoice::idlestNoted(std::mt19937_64 &random) const
 {
-    const auto &noted = usable_.noted();
-    if (noted.empty()) {
+    const auto &tracked = usable_.tracked();
+    if (tracked.empty()) {
         return nullptr;
     }
-    const std::size_t first = random() % noted.size();
-    const ServerRecord *best = noted[first];
+    const std::size_t first = random() % tracked.size();
+    const ServerRecord *best = tracked[first];
     double least = cost(*best);
-    for (std::size_t step = 1; step < noted.size(); ++step) {
-        const ServerRecord *record = noted[(first + step) % noted.size()];
+    for (std::size_t step = 1; step < tracked.size(); ++step) {
+        const ServerRecord *record = tracked[(first + step) % tracked.size()];
         if (const double found = cost(*record); found < least) {
             best = record;
             least = found;
@@ -46,16 +46,16 @@
 
 const ServerRecord *ServerChoice::idlestUnused(std::mt19937_64 &random) const
 {
-    if (usable_.unused() == 0) {
+    if (usable_.untracked() == 0) {
         return nullptr;
     }
     const auto &halls = view_.index.halls();
     const auto own = std::ranges::find(halls, policy_.hall) - halls.begin();
     const auto hall = static_cast<HallNumber>(own);
-    if (usable_.unusedIn(hall) > 0) {
-        return usable_.pickUnusedIn(hall, random);
+    if (usable_.untrackedIn(hall) > 0) {
+        return usable_.pickUntrackedIn(hall, random);
     }
-    return usable_.pickUnused(random() % usable_.unused(), random);
+    return usable_.pickUntracked(random() % usable_.untracked(), random);
 }
 
 double ServerChoice::cost(const ServerRecord &record) const
@@ -68,12 +68,12 @@
 
 bool ServerChoice::full(const ServerRecord &record) const
 {
-    return std::ranges::find(wish_.full, record.server.id) != wish_.full.end();
+    return std::ranges::find(requirements_.full, record.server.id) != requirements_.full.end();
 }
 
 const ServerRecord *ServerChoice::forPrompt(const HoldsAll &holdsAll) const
 {
-    const ServiceServers *service = view_.index.service(wish_.service);
+    const ServiceServers *service = view_.index.service(requirements_.service);
     if (service == nullptr || usable_.size() == 0) {
         return nullptr;
     }
@@ -81,7 +81,7 @@
     const auto hasRoom = [&](const ServerRecord &record) {
         return !full(record) && record.load(view_.now) <= bound;
     };
-    CandidateOrder order(service->table, sharedPartsKey(*wish_.prompt),
+    CandidateOrder order(service->table, sharedPartsKey(*requirements_.prompt),
                          [this](const ServerRecord &record) { return usable_.contains(record); });
     std::vector<const ServerRecord *> passed;
     const ServerRecord *first = nullptr; // That has room.
@@ -108,8 +108,8 @@
 // two by chance the less loaded one, as far as this box knows (Mitzenmacher, 2001).
 const ServerRecord *ServerChoice::spread(std::mt19937_64 &random) const
 {
-    Wish others = wish_;
-    others.barred.insert(others.barred.end(), wish_.full.begin(), wish_.full.end());
+    ServerRequirements others = requirements_;
+    others.barred.insert(others.barred.end(), requirements_.full.begin(), requirements_.full.end());
     const UsableServers notFull(view_, others);
     const UsableServers &from = notFull.size() == 0 ? usable_ : notFull;
     if (from.size() == 0) {
@@ -117,9 +117,9 @@
     }
     const auto pick = [&] {
         const std::size_t number = random() % from.size();
-        const auto &noted = from.noted();
-        return number < noted.size() ? noted[number]
-                                     : from.pickUnused(number - noted.size(), random);
+        const auto &tracked = from.tracked();
+        return number < tracked.size() ? tracked[number]
+                                       : from.pickUntracked(number - tracked.size(), random);
     };
     const ServerRecord *one = pick();
     const ServerRecord *other = pick();
--- a/src/forward/ServerChoice.h
+++ b/src/forward/ServerChoice.h
@@ -23,11 +23,12 @@
     /** Whether a server is known to hold all shared parts of the wish's prompt. */
     using HoldsAll = std::function<bool(const ServerRecord &record)>;
 
-    ServerChoice(const ServerView &view, const BookPolicy &policy, const Wish &wish)
+    ServerChoice(const ServerView &view, const ServerPolicy &policy,
+                 const ServerRequirements &requirements)
         : view_(view)
         , policy_(policy)
-        , wish_(wish)
-        , usable_(view, wish)
+        , requirements_(requirements)
+        , usable_(view, requirements)
     {
     }
 
@@ -47,8 +48,8 @@
     bool full(const ServerRecord &record) const;
 
     const ServerView &view_;
-    const BookPolicy &policy_;
-    const Wish &wish_;
+    const ServerPolicy &policy_;
+    const ServerRequirements &requirements_;
     UsableServers usable_;
 };
 
--- a/src/forward/ServerHealth.cpp
+++ b/src/forward/ServerHealth.cpp
@@ -36,9 +36,9 @@
     return record.own > 0 && silence(quietSince, now) > most;
 }
 
-bool ServerHealth::doubted(const ServerRecord &record, kernel::Instant now) const
+bool ServerHealth::isSuspected(const ServerRecord &record, kernel::Instant now) const
 {
-    if (now < record.doubtedUntil) {
+    if (now < record.suspectedUntil) {
         return true;
     }
     // After its pause a doubted server gets one request at a time until one succeeds.
@@ -69,21 +69,21 @@
     constexpr std::uint32_t MostDoublings = 8;
     const std::uint32_t doublings = std::min(record.failuresInARow, MostDoublings);
     ++record.failuresInARow;
-    const kernel::Duration pause = policy_.firstDoubt * (1U << doublings);
-    record.doubtedUntil = now + std::min(pause, policy_.longestDoubt);
+    const kernel::Duration pause = policy_.firstSuspicion * (1U << doublings);
+    record.suspectedUntil = now + std::min(pause, policy_.maxSuspicion);
 }
 
 kernel::Duration ServerHealth::silence(kernel::Instant since, kernel::Instant now) const
 {
-    return now - since - standstill(since, now);
+    return now - since - stalledFor(since, now);
 }
 
-kernel::Duration ServerHealth::standstill(kernel::Instant since, kernel::Instant now) const
+kernel::Duration ServerHealth::stalledFor(kernel::Instant since, kernel::Instant now) const
 {
     if (!awakeAt_) {
         return kernel::Duration(0);
     }
-    return std::max(kernel::Duration(0), now - std::max(*awakeAt_ + policy_.awake, since));
+    return std::max(kernel::Duration(0), now - std::max(*awakeAt_ + policy_.stallThreshold, since));
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerHealth.h
+++ b/src/forward/ServerHealth.h
@@ -6,8 +6,8 @@
  */
 #pragma once
 
-#include "forward/BookPolicy.h"
-#include "forward/HallBook.h"
+#include "forward/HallReachability.h"
+#include "forward/ServerPolicy.h"
 #include "forward/ServerRecord.h"
 
 #include <optional>
@@ -31,7 +31,7 @@
 class ServerHealth
 {
 public:
-    explicit ServerHealth(const BookPolicy &policy)
+    explicit ServerHealth(const ServerPolicy &policy)
         : policy_(policy)
     {
     }
@@ -40,7 +40,7 @@
     bool silent(const ServerRecord &record, kernel::Instant now) const;
 
     /** Whether the server gets nothing for now, as far as others can be had. */
-    bool doubted(const ServerRecord &record, kernel::Instant now) const;
+    bool isSuspected(const ServerRecord &record, kernel::Instant now) const;
 
     /** What the server says of its hall. */
     ServerSign signOf(const ServerRecord &record, kernel::Instant now) const;
@@ -51,13 +51,13 @@
     kernel::Duration silence(kernel::Instant since, kernel::Instant now) const;
 
     /** What of the time after \a since this box stood still, as far as noteAwake() wasn't told. */
-    kernel::Duration standstill(kernel::Instant since, kernel::Instant now) const;
+    kernel::Duration stalledFor(kernel::Instant since, kernel::Instant now) const;
 
     /** The box runs. */
     void noteAwake(kernel::Instant now) { awakeAt_ = now; }
 
 private:
-    BookPolicy policy_;
+    ServerPolicy policy_;
     std::optional<kernel::Instant> awakeAt_;
 };
 
--- a/src/forward/ServerIndex.cpp
+++ b/src/forward/ServerIndex.cpp
@@ -28,8 +28,8 @@
         return;
     }
     unlink(place->second);
-    if (place->second.noted) {
-        std::erase(noted_, &place->second);
+    if (place->second.tracked) {
+        std::erase(tracked_, &place->second);
     }
     records_.erase(place);
 }
@@ -66,19 +66,19 @@
     return place == services_.end() ? nullptr : &place->second;
 }
 
-void ServerIndex::note(ServerRecord &record)
+void ServerIndex::track(ServerRecord &record)
 {
-    if (!record.noted) {
-        record.noted = true;
-        noted_.push_back(&record);
+    if (!record.tracked) {
+        record.tracked = true;
+        tracked_.push_back(&record);
     }
 }
 
-void ServerIndex::dropUnused(kernel::Instant now)
+void ServerIndex::dropUntracked(kernel::Instant now)
 {
-    std::erase_if(noted_, [now](ServerRecord *record) {
-        record->noted = !record->unused(now);
-        return !record->noted;
+    std::erase_if(tracked_, [now](ServerRecord *record) {
+        record->tracked = !record->hasDefaultState(now);
+        return !record->tracked;
     });
 }
 
@@ -86,7 +86,7 @@
 {
     ++record.own;
     ++services_[record.server.service].own;
-    note(record);
+    track(record);
 }
 
 void ServerIndex::endRequest(ServerRecord &record)
--- a/src/forward/ServerIndex.h
+++ b/src/forward/ServerIndex.h
@@ -19,7 +19,7 @@
 /** The servers of one service. */
 struct ServiceServers
 {
-    ServerTable table;                               ///< All of them, leaving ones included.
+    RendezvousTable table;                           ///< All of them, leaving ones included.
     std::vector<std::vector<ServerRecord *>> byHall; ///< By hall's number; not leaving.
     std::uint32_t own = 0; ///< Requests of this box that run at any of them.
 };
@@ -53,13 +53,13 @@
     const std::vector<std::string> &halls() const { return halls_; }
 
     /** Something stands on \a record from now on. */
-    void note(ServerRecord &record);
+    void track(ServerRecord &record);
 
     /** The servers on which something may stand. */
-    std::span<ServerRecord *const> noted() const { return noted_; }
+    std::span<ServerRecord *const> tracked() const { return tracked_; }
 
     /** Takes those from among the noted ones on which nothing stands any more. */
-    void dropUnused(kernel::Instant now);
+    void dropUntracked(kernel::Instant now);
 
     /** A request of this box begins or ends at \a record. */
     void beginRequest(ServerRecord &record);
@@ -74,7 +74,7 @@
     std::unordered_multimap<std::uint32_t, ServerRecord *> byShortHash_;
     std::map<std::string, ServiceServers> services_;
     std::vector<std::string> halls_;
-    std::vector<ServerRecord *> noted_;
+    std::vector<ServerRecord *> tracked_;
 };
 
 } // namespace limereel::forward
--- a/src/forward/ServerOrder.cpp
+++ b/src/forward/ServerOrder.cpp
@@ -23,7 +23,7 @@
     return hash < other.hash;
 }
 
-void ServerTable::insert(ServerRecord &record)
+void RendezvousTable::insert(ServerRecord &record)
 {
     record.row = records_.size();
     hashes_.push_back(record.hash);
@@ -32,7 +32,7 @@
 }
 
 // The last one takes its row.
-void ServerTable::erase(const ServerRecord &record)
+void RendezvousTable::erase(const ServerRecord &record)
 {
     const std::size_t row = record.row;
     hashes_[row] = hashes_.back();
@@ -43,7 +43,7 @@
     firstKey_.reset();
 }
 
-const std::vector<WeighedServer> &ServerTable::first(std::uint64_t key) const
+const std::vector<WeighedServer> &RendezvousTable::first(std::uint64_t key) const
 {
     if (firstKey_ != key) {
         const WeighedServer beforeAll{~std::uint64_t{0}, 0, nullptr};
@@ -53,8 +53,8 @@
     return first_;
 }
 
-std::vector<WeighedServer> ServerTable::after(std::uint64_t key, const WeighedServer &last,
-                                              std::size_t count, const Wanted &wanted) const
+std::vector<WeighedServer> RendezvousTable::after(std::uint64_t key, const WeighedServer &last,
+                                                  std::size_t count, const Wanted &wanted) const
 {
     const auto before = [](const WeighedServer &left, const WeighedServer &right) {
         return left.before(right);
@@ -84,8 +84,8 @@
     return found;
 }
 
-CandidateOrder::CandidateOrder(const ServerTable &table, std::uint64_t key,
-                               ServerTable::Wanted wanted)
+CandidateOrder::CandidateOrder(const RendezvousTable &table, std::uint64_t key,
+                               RendezvousTable::Wanted wanted)
     : table_(table)
     , key_(key)
     , wanted_(std::move(wanted))
--- a/src/forward/ServerOrder.h
+++ b/src/forward/ServerOrder.h
@@ -31,7 +31,7 @@
 };
 
 /** The servers of one service. Doesn't own the records. */
-class ServerTable
+class RendezvousTable
 {
 public:
     using Wanted = std::function<bool(const ServerRecord &record)>;
@@ -61,15 +61,15 @@
 class CandidateOrder
 {
 public:
-    CandidateOrder(const ServerTable &table, std::uint64_t key, ServerTable::Wanted wanted);
+    CandidateOrder(const RendezvousTable &table, std::uint64_t key, RendezvousTable::Wanted wanted);
 
     /** The next server; nullptr once there are no more. */
     const ServerRecord *next();
 
 private:
-    const ServerTable &table_;
+    const RendezvousTable &table_;
     std::uint64_t key_;
-    ServerTable::Wanted wanted_;
+    RendezvousTable::Wanted wanted_;
     std::vector<WeighedServer> found_; ///< The batch that is given out, up to next_.
     std::size_t next_ = 0;
     std::size_t batch_; ///< How many were last looked for.
--- a/src/forward/ServerRecord.cpp
+++ b/src/forward/ServerRecord.cpp
@@ -51,10 +51,10 @@
     return noResponseAt != kernel::Instant() && now - noResponseAt < NoResponseKept;
 }
 
-bool ServerRecord::unused(kernel::Instant now) const
+bool ServerRecord::hasDefaultState(kernel::Instant now) const
 {
-    return own == 0 && failuresInARow == 0 && now >= doubtedUntil && now >= fullUntil && !rests(now)
-           && load(now) == 0 && errorShare(now) == 0 && !unansweredLately(now);
+    return own == 0 && failuresInARow == 0 && now >= suspectedUntil && now >= fullUntil
+           && !inBackoff(now) && load(now) == 0 && errorShare(now) == 0 && !unansweredLately(now);
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerRecord.h
+++ b/src/forward/ServerRecord.h
@@ -27,10 +27,10 @@
     double others = 0;      ///< Requests of other boxes, as they were told.
     kernel::Instant othersAt;
     std::uint32_t failuresInARow = 0;
-    kernel::Instant doubtedUntil;
+    kernel::Instant suspectedUntil;
     kernel::Instant fullUntil;
-    kernel::Instant restUntil; ///< It wants nothing from this box until then.
-    double errors = 0;         ///< Decaying share of failed answers.
+    kernel::Instant backoffUntil; ///< It wants nothing from this box until then.
+    double errors = 0;            ///< Decaying share of failed answers.
     kernel::Instant errorsAt;
     kernel::Instant lastHeard;
     kernel::Instant noResponseAt; ///< When connecting to it last brought nothing back.
@@ -39,7 +39,7 @@
     HallNumber hall = 0;   ///< Of its hall.
     std::size_t row = 0;   ///< In the table of its service.
     std::size_t place = 0; ///< Among the servers of its service and hall that take work.
-    bool noted = false;    ///< Something may stand on it; set by ServerIndex::note().
+    bool tracked = false;  ///< Something may stand on it; set by ServerIndex::note().
 
     /** Requests that run or wait there, as far as this box knows. */
     double load(kernel::Instant now) const;
@@ -50,10 +50,10 @@
     void noteError(kernel::Instant now);
     void noteGoodAnswer(kernel::Instant now);
 
-    bool rests(kernel::Instant now) const { return now < restUntil; }
+    bool inBackoff(kernel::Instant now) const { return now < backoffUntil; }
 
     /** Whether it has at least as many requests as places. */
-    bool allPlacesTaken(kernel::Instant now) const
+    bool allSlotsTaken(kernel::Instant now) const
     {
         return load(now) >= std::max<std::uint32_t>(1, server.slots);
     }
@@ -62,7 +62,7 @@
     bool unansweredLately(kernel::Instant now) const;
 
     /** Whether nothing stands on it any more: it is like one that was never used. */
-    bool unused(kernel::Instant now) const;
+    bool hasDefaultState(kernel::Instant now) const;
 };
 
 } // namespace limereel::forward
--- a/src/forward/Wish.h
+++ b/src/forward/ServerRequirements.h
@@ -14,18 +14,19 @@
 namespace limereel::forward {
 
 /** What is wanted of a backend server. */
-struct Wish
+struct ServerRequirements
 {
     std::string service;
-    const Prompt *prompt = nullptr;       ///< Set where parts of prompts are kept.
-    bool takeParts = false;               ///< Servers may take parts of prompts from each other.
-    std::vector<std::string> tried;       ///< Servers not to be chosen.
-    std::vector<std::string> barred;      ///< Servers that may not be sent more for now.
-    std::vector<std::string> regions;     ///< Where it may run; empty: anywhere.
-    std::vector<std::string> full;        ///< Servers over the bound, as their owners say.
-    std::vector<std::uint32_t> holders;   ///< Servers that others know to hold its shared parts, by
-                                          ///< the last 32 bits of their hashes.
-    std::vector<std::uint32_t> beginners; ///< The same of those that hold only the first part.
+    const Prompt *prompt = nullptr;     ///< Set where parts of prompts are kept.
+    bool takeParts = false;             ///< Servers may take parts of prompts from each other.
+    std::vector<std::string> tried;     ///< Servers not to be chosen.
+    std::vector<std::string> barred;    ///< Servers that may not be sent more for now.
+    std::vector<std::string> regions;   ///< Where it may run; empty: anywhere.
+    std::vector<std::string> full;      ///< Servers over the bound, as their owners say.
+    std::vector<std::uint32_t> holders; ///< Servers that others know to hold its shared parts, by
+                                        ///< the last 32 bits of their hashes.
+    std::vector<std::uint32_t>
+            firstPartHolders;  ///< The same of those that hold only the first part.
     bool holdersAsked = false; ///< The box that remembers for all where the parts lie was asked.
     bool alone = false;        ///< It may end its server: the one with the least to lose.
     bool spread = false; ///< Enough owners said so: any other server, not the next for all boxes.
--- /dev/null
+++ b/src/forward/ServerTable.cpp
@@ -0,0 +1,481 @@
+#include "forward/ServerTable.h"
+
+#include "forward/ServerChoice.h"
+
+#include <algorithm>
+
+namespace limereel::forward {
+
+namespace {
+
+bool hinted(const ServerRecord &record, const ServerRequirements &requirements)
+{
+    const auto shortened = static_cast<std::uint32_t>(record.hash);
+    return std::ranges::find(requirements.holders, shortened) != requirements.holders.end();
+}
+
+kernel::Duration leftUntil(kernel::Instant end, kernel::Instant now)
+{
+    return std::max(kernel::Duration(0), end - now);
+}
+
+} // namespace
+
+void ServerTable::put(const ListedServer &server, kernel::Instant since)
+{
+    index_.put(known(server), since);
+    setRest(*index_.find(server.id));
+}
+
+ListedServer ServerTable::known(ListedServer listed) const
+{
+    listed.leaving = listed.leaving || leaving_.contains(listed.hash());
+    return listed;
+}
+
+// By its life: it may have been listed no more for a while, or have taken another's place.
+void ServerTable::setRest(ServerRecord &record)
+{
+    record.backoffUntil = rests_.until(record.hash);
+    if (record.backoffUntil != kernel::Instant()) {
+        index_.track(record);
+    }
+}
+
+void ServerTable::remove(const std::string &id)
+{
+    index_.remove(id);
+    parts_.forget(id);
+}
+
+bool ServerTable::takesWork(const ServerRecord &record) const
+{
+    return !record.server.leaving && !drainedHalls_.contains(record.server.hall);
+}
+
+bool ServerTable::takesWork(const std::string &id) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record != nullptr && takesWork(*record);
+}
+
+bool ServerTable::mayBeSent(const ListedServer &server, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(server.id);
+    return record != nullptr && record->hash == server.hash() && takesWork(*record)
+           && !record->inBackoff(now);
+}
+
+void ServerTable::forEach(const std::function<void(const ListedServer &server)> &visit) const
+{
+    for (const auto &[id, record] : index_.all()) {
+        visit(record.server);
+    }
+}
+
+std::vector<std::string> ServerTable::ids() const
+{
+    std::vector<std::string> ids;
+    forEach([&ids](const ListedServer &server) { ids.push_back(server.id); });
+    return ids;
+}
+
+std::optional<ListedServer> ServerTable::find(const std::string &id) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record == nullptr ? std::nullopt : std::optional(record->server);
+}
+
+// Where the request, or parts of its prompt, may go.
+HallSet ServerTable::allowedHalls(const ServerRequirements &requirements) const
+{
+    HallSet allowed;
+    for (const std::string &hall : index_.halls()) {
+        const auto region = hallRegions_.find(hall);
+        const bool home = region != hallRegions_.end()
+                          && std::ranges::find(requirements.regions, region->second)
+                                     != requirements.regions.end();
+        allowed.push_back(requirements.regions.empty() || home);
+    }
+    return allowed;
+}
+
+HallSet ServerTable::openHalls(const ServerRequirements &requirements) const
+{
+    HallSet open = allowedHalls(requirements);
+    for (std::size_t hall = 0; hall < open.size(); ++hall) {
+        open[hall] = open[hall] && !drainedHalls_.contains(index_.halls()[hall]);
+    }
+    return open;
+}
+
+HallSigns ServerTable::signsOf(const std::string &hall, kernel::Instant now) const
+{
+    const kernel::Instant heard = halls_.heard(hall);
+    HallSigns signs(heard, health_.silence(heard, now));
+    for (const ServerRecord *record : index_.tracked()) {
+        if (record->server.hall == hall) {
+            signs.add(health_.signOf(*record, now));
+        }
+    }
+    return signs;
+}
+
+HallSet ServerTable::closedHalls(kernel::Instant now) const
+{
+    std::map<std::string, std::size_t> quietServers;
+    for (const ServerRecord *record : index_.tracked()) {
+        if (health_.signOf(*record, now).quiet()) {
+            ++quietServers[record->server.hall];
+        }
+    }
+    const auto signs = [&](const std::string &hall) { return signsOf(hall, now); };
+    const std::set<std::string> names = halls_.closed(quietServers, signs, now);
+    HallSet closed;
+    for (const std::string &hall : index_.halls()) {
+        closed.push_back(names.contains(hall));
+    }
+    return closed;
+}
+
+void ServerTable::noteAwake(kernel::Instant now)
+{
+    // All marks move alike, so that what was later than another stays so.
+    const auto stalledFor = [&](kernel::Instant since) { return health_.stalledFor(since, now); };
+    if (stalledFor({}) > kernel::Duration(0)) {
+        for (ServerRecord *record : index_.tracked()) {
+            record->lastHeard += stalledFor(record->lastHeard);
+            record->dueSince += stalledFor(record->dueSince);
+            record->noResponseAt += stalledFor(record->noResponseAt);
+        }
+        halls_.shiftTimes(stalledFor);
+    }
+    health_.noteAwake(now);
+    rests_.expire(now);
+    std::erase_if(restAskedAt_,
+                  [&](const auto &asked) { return now - asked.second >= policy_.limitedToSlots; });
+    leaving_.expire(now, [this](std::uint64_t life) { return index_.findHash(life) != nullptr; });
+    index_.dropUntracked(now);
+}
+
+bool ServerTable::silent(const std::string &id, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record != nullptr && health_.silent(*record, now);
+}
+
+bool ServerTable::isSuspected(const std::string &id, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record != nullptr && health_.isSuspected(*record, now);
+}
+
+double ServerTable::load(const std::string &id, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record == nullptr ? 0 : record->load(now);
+}
+
+bool ServerTable::holdsAll(const ServerRecord &record, const ServerRequirements &requirements,
+                           kernel::Instant now) const
+{
+    return hinted(record, requirements)
+           || parts_.depth(*requirements.prompt, record.server.id, now)
+                      >= sharedPrefixes(*requirements.prompt).size();
+}
+
+std::optional<Choice> ServerTable::choose(const ServerRequirements &requirements,
+                                          kernel::Instant now, std::mt19937_64 &random) const
+{
+    const ServerView view{index_,
+                          health_,
+                          openHalls(requirements),
+                          closedHalls(now),
+                          limitedToSlots(requirements.service, now),
+                          now};
+    const ServerChoice servers(view, policy_, requirements);
+    const bool byParts = requirements.prompt != nullptr && !requirements.prompt->parts.empty();
+    const auto holds = [&](const ServerRecord &record) {
+        return holdsAll(record, requirements, now);
+    };
+    const bool idlest = !byParts || requirements.alone;
+    const ServerRecord *chosen = idlest                ? servers.idlest(random)
+                                 : requirements.spread ? servers.spread(random)
+                                                       : servers.forPrompt(holds);
+    if (chosen == nullptr) {
+        return std::nullopt;
+    }
+    const bool trial =
+            chosen->failuresInARow > 0 || halls_.isSuspected(signsOf(chosen->server.hall, now));
+    Choice choice{chosen->server, std::nullopt, 0, trial};
+    if (byParts) {
+        updateSource(requirements, choice, now);
+    }
+    return choice;
+}
+
+void ServerTable::updateSource(const ServerRequirements &requirements, Choice &choice,
+                               kernel::Instant now) const
+{
+    const ServerRecord *chosen = index_.find(choice.server.id);
+    if (requirements.prompt == nullptr || chosen == nullptr) {
+        return;
+    }
+    choice.held = hinted(*chosen, requirements)
+                          ? sharedPrefixes(*requirements.prompt).size()
+                          : parts_.depth(*requirements.prompt, chosen->server.id, now);
+    choice.takeFrom = requirements.takeParts ? sourceFor(*chosen, requirements, choice.held, now)
+                                             : std::nullopt;
+}
+
+// Another server from which \a target may take what it lacks of the prompt: one that is known to
+// hold it, else the one to which the prompt would go without \a target and without those that
+// came lately, since the list was another one when the parts were read.
+std::optional<kernel::Endpoint> ServerTable::sourceFor(const ServerRecord &target,
+                                                       const ServerRequirements &requirements,
+                                                       std::size_t held, kernel::Instant now) const
+{
+    const Prompt &prompt = *requirements.prompt;
+    if (held >= sharedPrefixes(prompt).size()) {
+        return std::nullopt;
+    }
+    const HallSet allowed = allowedHalls(requirements);
+    const auto mayGive = [&](const ServerRecord &record) {
+        const bool tried =
+                std::ranges::find(requirements.tried, record.server.id) != requirements.tried.end();
+        return record.server.service == requirements.service && allowed[record.hall]
+               && &record != &target && !tried && !health_.isSuspected(record, now);
+    };
+    if (const ServerRecord *holder = namedGiver(requirements.holders, mayGive)) {
+        return holder->server.address;
+    }
+    for (const std::string &id : parts_.holders(prompt, held, now)) {
+        const ServerRecord *record = index_.find(id);
+        if (record != nullptr && mayGive(*record)) {
+            return record->server.address;
+        }
+    }
+    // Better than a guess: parts that many prompts begin with lie at engines that never had this
+    // one.
+    const ServerRecord *beginner =
+            held == 0 ? namedGiver(requirements.firstPartHolders, mayGive) : nullptr;
+    const ServerRecord *giver =
+            beginner != nullptr ? beginner : guessedGiver(requirements, mayGive, now);
+    return giver == nullptr ? std::nullopt : std::optional(giver->server.address);
+}
+
+const ServerRecord *
+ServerTable::namedGiver(const std::vector<std::uint32_t> &named,
+                        const std::function<bool(const ServerRecord &)> &mayGive) const
+{
+    for (const std::uint32_t hash : named) {
+        const ServerRecord *record = index_.findShort(hash);
+        if (record != nullptr && mayGive(*record)) {
+            return record;
+        }
+    }
+    return nullptr;
+}
+
+const ServerRecord *
+ServerTable::guessedGiver(const ServerRequirements &requirements,
+                          const std::function<bool(const ServerRecord &)> &mayGive,
+                          kernel::Instant now) const
+{
+    const ServiceServers *service = index_.service(requirements.service);
+    if (service == nullptr) {
+        return nullptr;
+    }
+    const std::uint64_t key = sharedPartsKey(*requirements.prompt);
+    CandidateOrder old(service->table, key, [&](const ServerRecord &record) {
+        return now - record.since >= policy_.newServerAge && mayGive(record);
+    });
+    const ServerRecord *giver = old.next();
+    return giver != nullptr ? giver : CandidateOrder(service->table, key, mayGive).next();
+}
+
+std::optional<ListedServer>
+ServerTable::preferredServer(const ServerRequirements &requirements) const
+{
+    const ServiceServers *service = index_.service(requirements.service);
+    if (service == nullptr) {
+        return std::nullopt;
+    }
+    const HallSet open = openHalls(requirements);
+    CandidateOrder order(service->table, sharedPartsKey(*requirements.prompt),
+                         [&open](const ServerRecord &record) {
+                             return !record.server.leaving && open[record.hall];
+                         });
+    const ServerRecord *first = order.next();
+    return first == nullptr ? std::nullopt : std::optional(first->server);
+}
+
+bool ServerTable::sourceKnown(const ServerRequirements &requirements, const Choice &choice,
+                              kernel::Instant now) const
+{
+    const std::size_t shared = sharedPrefixes(*requirements.prompt).size();
+    const bool named = std::ranges::any_of(requirements.holders, [this](std::uint32_t hash) {
+        return index_.findShort(hash) != nullptr;
+    });
+    return choice.held >= shared || named
+           || !parts_.holders(*requirements.prompt, shared - 1, now).empty();
+}
+
+void ServerTable::begin(const std::string &id, const Prompt *prompt, kernel::Instant now)
+{
+    ServerRecord *record = index_.find(id);
+    if (record == nullptr) {
+        return;
+    }
+    if (record->own == 0) {
+        record->dueSince = now;
+    }
+    index_.beginRequest(*record);
+    if (prompt != nullptr && !prompt->parts.empty()) {
+        parts_.note(*prompt, id, now);
+    }
+}
+
+void ServerTable::end(const std::string &id)
+{
+    if (ServerRecord *record = index_.find(id)) {
+        index_.endRequest(*record);
+    }
+}
+
+void ServerTable::noteAttempt(const std::string &id, kernel::Instant now)
+{
+    if (const ServerRecord *record = index_.find(id)) {
+        halls_.noteAttempt(record->server.hall, now);
+    }
+}
+
+void ServerTable::noteHeard(const std::string &id, kernel::Instant now)
+{
+    if (ServerRecord *record = index_.find(id)) {
+        record->lastHeard = now;
+        halls_.noteHeard(record->server.hall, now);
+    }
+}
+
+void ServerTable::noteLoad(const std::string &id, const ReportedLoad &reported, kernel::Instant now)
+{
+    if (const ServerRecord *record = index_.find(id)) {
+        const double total = static_cast<double>(reported.running) + reported.waiting;
+        setOthers(id, std::max(0.0, total - record->own), now);
+    }
+}
+
+void ServerTable::setOthers(const std::string &id, double others, kernel::Instant now)
+{
+    if (ServerRecord *record = index_.find(id)) {
+        record->others = others;
+        record->othersAt = now;
+        index_.track(*record);
+    }
+}
+
+void ServerTable::noteSuccess(const std::string &id, kernel::Instant now)
+{
+    if (ServerRecord *record = index_.find(id)) {
+        record->failuresInARow = 0;
+        record->suspectedUntil = now;
+        record->noteGoodAnswer(now);
+    }
+}
+
+void ServerTable::noteFailure(const std::string &id, Failure failure, kernel::Instant now)
+{
+    if (ServerRecord *record = index_.find(id)) {
+        health_.noteFailure(*record, failure, now);
+        index_.track(*record);
+    }
+}
+
+void ServerTable::noteBackoff(const ListedServer &server, kernel::Duration asked,
+                              kernel::Instant now)
+{
+    rests_.note(server.hash(), asked, now);
+    restAskedAt_[server.service] = now;
+    if (ServerRecord *record = index_.find(server.id)) {
+        setRest(*record);
+    }
+}
+
+bool ServerTable::noteLeaving(const ListedServer &server, kernel::Instant now)
+{
+    const bool news = leaving_.note(server.hash(), now);
+    const ServerRecord *record = index_.find(server.id);
+    if (news && record != nullptr) {
+        index_.put(known(record->server), record->since);
+    }
+    return news;
+}
+
+kernel::Duration ServerTable::backoffLeft(const std::string &id, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record == nullptr ? kernel::Duration(0) : leftUntil(record->backoffUntil, now);
+}
+
+bool ServerTable::allBackingOff(const ServerRequirements &requirements, kernel::Instant now) const
+{
+    const ServiceServers *service = index_.service(requirements.service);
+    if (service == nullptr) {
+        return false;
+    }
+    const HallSet open = openHalls(requirements);
+    bool any = false;
+    for (HallNumber hall = 0; hall < service->byHall.size(); ++hall) {
+        if (!open[hall]) {
+            continue;
+        }
+        const auto &servers = service->byHall[hall];
+        any = any || !servers.empty();
+        if (!std::ranges::all_of(servers,
+                                 [now](const auto *record) { return record->inBackoff(now); })) {
+            return false;
+        }
+    }
+    return any;
+}
+
+bool ServerTable::limitedToSlots(const std::string &service, kernel::Instant now) const
+{
+    const auto place = restAskedAt_.find(service);
+    return place != restAskedAt_.end() && now - place->second < policy_.limitedToSlots;
+}
+
+kernel::Duration ServerTable::fullLeft(const std::string &id, kernel::Instant now) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record == nullptr ? kernel::Duration(0) : leftUntil(record->fullUntil, now);
+}
+
+std::uint32_t ServerTable::ownLoad(const std::string &service) const
+{
+    const ServiceServers *servers = index_.service(service);
+    return servers == nullptr ? 0 : servers->own;
+}
+
+std::uint32_t ServerTable::ownLoadAt(const std::string &id) const
+{
+    const ServerRecord *record = index_.find(id);
+    return record == nullptr ? 0 : record->own;
+}
+
+std::size_t ServerTable::serversInSameService(std::uint64_t hash) const
+{
+    const ServerRecord *record = index_.findHash(hash);
+    if (record == nullptr) {
+        return 0;
+    }
+    std::size_t count = 0;
+    const auto &byHall = index_.service(record->server.service)->byHall;
+    for (std::size_t hall = 0; hall < byHall.size(); ++hall) {
+        count += drainedHalls_.contains(index_.halls()[hall]) ? 0 : byHall[hall].size();
+    }
+    return count;
+}
+
+} // namespace limereel::forward
--- a/src/forward/ServerBook.h
+++ b/src/forward/ServerTable.h
@@ -5,7 +5,7 @@
  * Health comes from the requests themselves, since probes are dear: failures to connect, lost
  * answers, failed answers, and silence while answers are due (ServerHealth). Where several servers
  * of a hall say nothing and none of it was heard since, the way to the hall is doubted rather than
- * each server in turn (HallBook). The choice itself is ServerChoice's.
+ * each server in turn (HallReachability). The choice itself is ServerChoice's.
  *
  * Where a server is not known to hold a prompt's parts, the choice names another one that it may
  * take them from, which is cheaper than reading them again.
@@ -16,14 +16,14 @@
  */
 #pragma once
 
-#include "forward/HallBook.h"
-#include "forward/LeavingBook.h"
+#include "forward/BackoffTable.h"
+#include "forward/HallReachability.h"
+#include "forward/LeavingServers.h"
 #include "forward/PartIndex.h"
-#include "forward/RestBook.h"
 #include "forward/ServerHealth.h"
 #include "forward/ServerIndex.h"
+#include "forward/ServerRequirements.h"
 #include "forward/UsableServers.h"
-#include "forward/Wish.h"
 
 #include <functional>
 #include <map>
@@ -36,15 +36,15 @@
 namespace limereel::forward {
 
 /** The book of one box. Pure: time and chance are handed in. */
-class ServerBook
+class ServerTable
 {
 public:
-    explicit ServerBook(BookPolicy policy)
+    explicit ServerTable(ServerPolicy policy)
         : policy_(std::move(policy))
         , health_(policy_)
         , halls_({policy_.quietServers, policy_.silence, policy_.hallTrial})
         , parts_(policy_.partRemembered)
-        , rests_(policy_.longestRest)
+        , rests_(policy_.maxBackoff)
         , leaving_(policy_.leavingKept)
     {
     }
@@ -85,16 +85,18 @@
     std::optional<ListedServer> find(const std::string &id) const;
 
     /** The server for \a wish; nothing if none may be used. */
-    std::optional<Choice> choose(const Wish &wish, kernel::Instant now,
+    std::optional<Choice> choose(const ServerRequirements &requirements, kernel::Instant now,
                                  std::mt19937_64 &random) const;
 
     /** Works out anew what the chosen server holds and takes, as \a wish has come to know more
      * holders since. */
-    void settleSource(const Wish &wish, Choice &choice, kernel::Instant now) const;
+    void updateSource(const ServerRequirements &requirements, Choice &choice,
+                      kernel::Instant now) const;
 
     /** Whether a server other than the chosen one is known to hold all shared parts of the prompt,
      * or the chosen one is itself; else the source is a guess. */
-    bool sourceKnown(const Wish &wish, const Choice &choice, kernel::Instant now) const;
+    bool sourceKnown(const ServerRequirements &requirements, const Choice &choice,
+                     kernel::Instant now) const;
 
     /** A request is about to be tried at \a id, connected or not. */
     void noteAttempt(const std::string &id, kernel::Instant now);
@@ -105,7 +107,7 @@
     /** The request is over. */
     void end(const std::string &id);
 
-    /** The box runs; to be called regularly. Time beyond \c BookPolicy::awake since the last call
+    /** The box runs; to be called regularly. Time beyond \c ServerPolicy::awake since the last call
      * is a standstill, in which nothing could be heard: it doesn't count as silence of servers. */
     void noteAwake(kernel::Instant now);
 
@@ -116,20 +118,20 @@
     void noteFailure(const std::string &id, Failure failure, kernel::Instant now);
 
     /** This life of a server asks this box for rest. */
-    void noteRest(const ListedServer &server, kernel::Duration asked, kernel::Instant now);
+    void noteBackoff(const ListedServer &server, kernel::Duration asked, kernel::Instant now);
 
     /** This life of a server says that it leaves. \return whether that is news. */
     bool noteLeaving(const ListedServer &server, kernel::Instant now);
 
     /** For how long \a id still wants nothing from this box; zero: it doesn't rest. */
-    kernel::Duration restLeft(const std::string &id, kernel::Instant now) const;
+    kernel::Duration backoffLeft(const std::string &id, kernel::Instant now) const;
 
     /** Whether there are servers that could take \a wish, but that all of them rest. */
-    bool allRest(const Wish &wish, kernel::Instant now) const;
+    bool allBackingOff(const ServerRequirements &requirements, kernel::Instant now) const;
 
     /** Whether the servers of \a service get no more than they have places. A server that is sent
      * more may ask for rest, and then not even its places are used. */
-    bool heldToPlaces(const std::string &service, kernel::Instant now) const;
+    bool limitedToSlots(const std::string &service, kernel::Instant now) const;
 
     /** For how long \a id is still taken for full, as it turned a request away. */
     kernel::Duration fullLeft(const std::string &id, kernel::Instant now) const;
@@ -144,17 +146,17 @@
     std::uint32_t ownLoadAt(const std::string &id) const;
 
     /** How many servers of the same service take work, the one with this hash included. */
-    std::size_t serversBeside(std::uint64_t hash) const;
+    std::size_t serversInSameService(std::uint64_t hash) const;
 
     /** The server that a prompt asks for first, loads aside; nothing without one that takes work.
      */
-    std::optional<ListedServer> firstFor(const Wish &wish) const;
+    std::optional<ListedServer> preferredServer(const ServerRequirements &requirements) const;
 
     /** Whether nothing has come from \a id for too long while answers are due. */
     bool silent(const std::string &id, kernel::Instant now) const;
 
     /** Whether \a id is doubted now. */
-    bool doubted(const std::string &id, kernel::Instant now) const;
+    bool isSuspected(const std::string &id, kernel::Instant now) const;
 
     /** The estimated load of \a id: requests that run or wait there. */
     double load(const std::string &id, kernel::Instant now) const;
@@ -162,26 +164,28 @@
 private:
     bool takesWork(const ServerRecord &record) const;
     void setRest(ServerRecord &record);
-    HallSet allowedHalls(const Wish &wish) const;
-    HallSet openHalls(const Wish &wish) const;
+    HallSet allowedHalls(const ServerRequirements &requirements) const;
+    HallSet openHalls(const ServerRequirements &requirements) const;
     HallSet closedHalls(kernel::Instant now) const;
     HallSigns signsOf(const std::string &hall, kernel::Instant now) const;
-    bool holdsAll(const ServerRecord &record, const Wish &wish, kernel::Instant now) const;
+    bool holdsAll(const ServerRecord &record, const ServerRequirements &requirements,
+                  kernel::Instant now) const;
     const ServerRecord *namedGiver(const std::vector<std::uint32_t> &named,
                                    const std::function<bool(const ServerRecord &)> &mayGive) const;
-    const ServerRecord *guessedGiver(const Wish &wish,
+    const ServerRecord *guessedGiver(const ServerRequirements &requirements,
                                      const std::function<bool(const ServerRecord &)> &mayGive,
                                      kernel::Instant now) const;
-    std::optional<kernel::Endpoint> sourceFor(const ServerRecord &target, const Wish &wish,
+    std::optional<kernel::Endpoint> sourceFor(const ServerRecord &target,
+                                              const ServerRequirements &requirements,
                                               std::size_t held, kernel::Instant now) const;
 
-    BookPolicy policy_;
+    ServerPolicy policy_;
     ServerHealth health_;
     ServerIndex index_;
-    HallBook halls_;
+    HallReachability halls_;
     PartIndex parts_;
-    RestBook rests_;
-    LeavingBook leaving_;
+    BackoffTable rests_;
+    LeavingServers leaving_;
     std::map<std::string, kernel::Instant> restAskedAt_; ///< By service, of any of its servers.
     std::set<std::string> drainedHalls_;
     std::map<std::string, std::string> hallRegions_;
--- a/src/forward/AloneLedger.cpp
+++ b/src/forward/SingleSendLeases.cpp
@@ -1,9 +1,9 @@
-#include "forward/AloneLedger.h"
+#include "forward/SingleSendLeases.h"
 
 namespace limereel::forward {
 
-kernel::Duration AloneLedger::take(const RequestIdentity &request, std::uint64_t ask,
-                                   kernel::Instant until, kernel::Instant now)
+kernel::Duration SingleSendLeases::tryAcquire(const RequestIdentity &request, std::uint64_t ask,
+                                              kernel::Instant until, kernel::Instant now)
 {
     const auto place = sends_.find(request);
     if (place != sends_.end() && place->second.ask != ask && place->second.until > now) {
@@ -13,7 +13,7 @@
     return kernel::Duration::zero();
 }
 
-void AloneLedger::over(const RequestIdentity &request, std::uint64_t ask)
+void SingleSendLeases::releaseLease(const RequestIdentity &request, std::uint64_t ask)
 {
     const auto place = sends_.find(request);
     if (place != sends_.end() && place->second.ask == ask) {
@@ -21,7 +21,7 @@
     }
 }
 
-void AloneLedger::expire(kernel::Instant now)
+void SingleSendLeases::expire(kernel::Instant now)
 {
     std::erase_if(sends_, [now](const auto &item) { return item.second.until <= now; });
 }
--- a/src/forward/AloneLedger.h
+++ b/src/forward/SingleSendLeases.h
@@ -12,16 +12,16 @@
 namespace limereel::forward {
 
 /** The ledger of one owner. Pure: time is handed in. */
-class AloneLedger
+class SingleSendLeases
 {
 public:
     /** Lets the send \a ask run until \a until at most, if no other one does. \return when to come
      * back; zero: it may run. */
-    kernel::Duration take(const RequestIdentity &request, std::uint64_t ask, kernel::Instant until,
-                          kernel::Instant now);
+    kernel::Duration tryAcquire(const RequestIdentity &request, std::uint64_t ask,
+                                kernel::Instant until, kernel::Instant now);
 
     /** The send \a ask is over. */
-    void over(const RequestIdentity &request, std::uint64_t ask);
+    void releaseLease(const RequestIdentity &request, std::uint64_t ask);
 
     /** Drops those whose boxes said nothing more. */
     void expire(kernel::Instant now);
--- a/src/forward/Snapshot.h
+++ b/src/forward/Snapshot.h
@@ -50,7 +50,7 @@
     kernel::Duration objective{}; ///< Within which an answer is worth most.
     kernel::Duration eventGap{};  ///< Longest pause between events that is in time.
     std::uint32_t priority = 0;   ///< 0 goes first.
-    std::uint32_t mostAttempts = 1;
+    std::uint32_t maxAttempts = 1;
     std::vector<WeightedService> services;
     std::vector<std::string> homes; ///< Regions in which alone its requests run; empty: any.
 
@@ -62,10 +62,10 @@
 {
     std::string name;
     std::string healthPath;
-    std::uint32_t mostConnections = 0; ///< To one backend server, from the whole fleet; 0: untold.
-    bool engine = false;               ///< Its backend servers are model engines.
-    bool movesParts = false;           ///< Its engines may take prompt parts from each other.
-    ColdPolicy cold;                   ///< How its backend servers start.
+    std::uint32_t maxConnections = 0; ///< To one backend server, from the whole fleet; 0: untold.
+    bool engine = false;              ///< Its backend servers are model engines.
+    bool movesParts = false;          ///< Its engines may take prompt parts from each other.
+    ColdPolicy cold;                  ///< How its backend servers start.
 
     auto operator<=>(const Service &) const = default;
 };
--- a/src/forward/UsableServers.cpp
+++ b/src/forward/UsableServers.cpp
@@ -18,16 +18,16 @@
 
 } // namespace
 
-UsableServers::UsableServers(const ServerView &view, const Wish &wish)
+UsableServers::UsableServers(const ServerView &view, const ServerRequirements &requirements)
     : view_(view)
-    , wish_(wish)
-    , service_(view.index.service(wish.service))
+    , requirements_(requirements)
+    , service_(view.index.service(requirements.service))
 {
     if (service_ == nullptr) {
         return;
     }
-    exclude(wish.tried);
-    exclude(wish.barred);
+    exclude(requirements.tried);
+    exclude(requirements.barred);
     std::ranges::sort(excluded_);
     excluded_.erase(std::unique(excluded_.begin(), excluded_.end()), excluded_.end());
     countUnused();
@@ -42,31 +42,31 @@
 double UsableServers::meanLoad() const
 {
     double sum = 0;
-    for (const ServerRecord *record : noted_) {
+    for (const ServerRecord *record : tracked_) {
         sum += record->load(view_.now);
     }
     return sum / static_cast<double>(size());
 }
 
-const ServerRecord *UsableServers::pickUnused(std::size_t number, std::mt19937_64 &random) const
+const ServerRecord *UsableServers::pickUntracked(std::size_t number, std::mt19937_64 &random) const
 {
     for (HallNumber hall = 0; hall < perHall_.size(); ++hall) {
         if (number < perHall_[hall]) {
-            return pickUnusedIn(hall, random);
+            return pickUntrackedIn(hall, random);
         }
         number -= perHall_[hall];
     }
     return nullptr;
 }
 
-const ServerRecord *UsableServers::pickUnusedIn(HallNumber hall, std::mt19937_64 &random) const
+const ServerRecord *UsableServers::pickUntrackedIn(HallNumber hall, std::mt19937_64 &random) const
 {
     // Few are noted or excluded, so this ends soon after it has begun.
     const auto &servers = service_->byHall[hall];
     const std::size_t first = random() % servers.size();
     for (std::size_t step = 0; step < servers.size(); ++step) {
         const ServerRecord *record = servers[(first + step) % servers.size()];
-        if (!record->noted && !excluded(*record)) {
+        if (!record->tracked && !excluded(*record)) {
             return record;
         }
     }
@@ -75,13 +75,13 @@
 
 bool UsableServers::mayTake(const ServerRecord &record) const
 {
-    return belongs(record) && !record.rests(view_.now)
-           && !(view_.heldToPlaces && record.allPlacesTaken(view_.now));
+    return belongs(record) && !record.inBackoff(view_.now)
+           && !(view_.limitedToSlots && record.allSlotsTaken(view_.now));
 }
 
 bool UsableServers::belongs(const ServerRecord &record) const
 {
-    return record.server.service == wish_.service && !record.server.leaving
+    return record.server.service == requirements_.service && !record.server.leaving
            && in(view_.open, record.hall);
 }
 
@@ -93,11 +93,11 @@
 UsableServers::Sort UsableServers::sortOf(const ServerRecord &record) const
 {
     if (in(view_.closed, record.hall)
-        || (record.noted && view_.health.doubted(record, view_.now))) {
+        || (record.tracked && view_.health.isSuspected(record, view_.now))) {
         return Sort::Doubted;
     }
     const bool poor =
-            record.noted
+            record.tracked
             && (record.errorShare(view_.now) >= mostErrors_ || view_.now < record.fullUntil);
     return poor ? Sort::Fair : Sort::Good;
 }
@@ -117,11 +117,11 @@
         perHall_.push_back(in(view_.open, hall) ? service_->byHall[hall].size() : 0);
     }
     for (const ServerRecord *record : excluded_) {
-        if (belongs(*record) && !record->noted) {
+        if (belongs(*record) && !record->tracked) {
             --perHall_[record->hall];
         }
     }
-    for (const ServerRecord *record : view_.index.noted()) {
+    for (const ServerRecord *record : view_.index.tracked()) {
         if (belongs(*record)) {
             --perHall_[record->hall];
         }
@@ -132,23 +132,23 @@
 void UsableServers::sortNoted()
 {
     double errorSum = 0;
-    for (const ServerRecord *record : view_.index.noted()) {
+    for (const ServerRecord *record : view_.index.tracked()) {
         if (mayTake(*record) && !excluded(*record)) {
-            noted_.push_back(record);
+            tracked_.push_back(record);
             errorSum += record->errorShare(view_.now);
         }
     }
-    const std::size_t all = std::accumulate(perHall_.begin(), perHall_.end(), noted_.size());
+    const std::size_t all = std::accumulate(perHall_.begin(), perHall_.end(), tracked_.size());
     mostErrors_ = (all == 0 ? 0 : errorSum / static_cast<double>(all)) + ErrorsBeyondMean;
     std::size_t reachable = 0;
     for (HallNumber hall = 0; hall < perHall_.size(); ++hall) {
         reachable += in(view_.closed, hall) ? 0 : perHall_[hall];
     }
     least_ = reachable > 0 ? Sort::Good : Sort::Doubted;
-    for (const ServerRecord *record : noted_) {
+    for (const ServerRecord *record : tracked_) {
         least_ = std::max(least_, sortOf(*record));
     }
-    std::erase_if(noted_, [this](const auto *record) { return sortOf(*record) < least_; });
+    std::erase_if(tracked_, [this](const auto *record) { return sortOf(*record) < least_; });
     for (HallNumber hall = 0; hall < perHall_.size(); ++hall) {
         if (least_ > Sort::Doubted && in(view_.closed, hall)) {
             perHall_[hall] = 0;
--- a/src/forward/UsableServers.h
+++ b/src/forward/UsableServers.h
@@ -12,7 +12,7 @@
 
 #include "forward/ServerHealth.h"
 #include "forward/ServerIndex.h"
-#include "forward/Wish.h"
+#include "forward/ServerRequirements.h"
 
 #include <random>
 #include <vector>
@@ -27,9 +27,9 @@
 {
     const ServerIndex &index;
     const ServerHealth &health;
-    HallSet open;      ///< Halls in which the request may run.
-    HallSet closed;    ///< Halls that get nothing for now, as the way to them seems cut.
-    bool heldToPlaces; ///< Servers get no more requests than they have places.
+    HallSet open;        ///< Halls in which the request may run.
+    HallSet closed;      ///< Halls that get nothing for now, as the way to them seems cut.
+    bool limitedToSlots; ///< Servers get no more requests than they have places.
     kernel::Instant now;
 };
 
@@ -37,29 +37,29 @@
 class UsableServers
 {
 public:
-    UsableServers(const ServerView &view, const Wish &wish);
+    UsableServers(const ServerView &view, const ServerRequirements &requirements);
 
-    std::size_t size() const { return unused_ + noted_.size(); }
+    std::size_t size() const { return unused_ + tracked_.size(); }
     bool contains(const ServerRecord &record) const;
 
     /** Those on which something is noted. */
-    const std::vector<const ServerRecord *> &noted() const { return noted_; }
+    const std::vector<const ServerRecord *> &tracked() const { return tracked_; }
 
     /** The mean load. Only with a size above 0. */
     double meanLoad() const;
 
     /** How many there are in a hall on which nothing is noted. */
-    std::size_t unusedIn(HallNumber hall) const
+    std::size_t untrackedIn(HallNumber hall) const
     {
         return hall < perHall_.size() ? perHall_[hall] : 0;
     }
 
     /** One of them by chance. \param number below unused(), chosen by chance. */
-    const ServerRecord *pickUnused(std::size_t number, std::mt19937_64 &random) const;
-    const ServerRecord *pickUnusedIn(HallNumber hall, std::mt19937_64 &random) const;
+    const ServerRecord *pickUntracked(std::size_t number, std::mt19937_64 &random) const;
+    const ServerRecord *pickUntrackedIn(HallNumber hall, std::mt19937_64 &random) const;
 
     /** How many there are on which nothing is noted. */
-    std::size_t unused() const { return unused_; }
+    std::size_t untracked() const { return unused_; }
 
 private:
     enum class Sort : std::uint8_t { Doubted, Fair, Good };
@@ -73,10 +73,10 @@
     void sortNoted();
 
     const ServerView &view_;
-    const Wish &wish_;
+    const ServerRequirements &requirements_;
     const ServiceServers *service_;
     std::vector<const ServerRecord *> excluded_; ///< Sorted by address.
-    std::vector<const ServerRecord *> noted_;
+    std::vector<const ServerRecord *> tracked_;
     std::vector<std::size_t> perHall_; ///< Unused ones, by hall.
     std::size_t unused_ = 0;
     Sort least_ = Sort::Good; ///< What is used.
--- a/src/gateway/BackendExchange.cpp
+++ b/src/gateway/BackendExchange.cpp
@@ -76,7 +76,7 @@
     run_.interrupt->connection = connection_;
     run_.sentAt = run_.context.now();
     run_.world.servers().begin(server_.id, run_.prompt(), run_.context.now());
-    if (run_.repeatable() && run_.route.mostAttempts > run_.counts.sends + 1) {
+    if (run_.repeatable() && run_.route.maxAttempts > run_.counts.sends + 1) {
         armSilence(firstLook(run_, server_));
     }
     const AttemptEnd end = co_await exchange();
@@ -202,20 +202,20 @@
         run_.context.counters.add("servers_said_leaving");
         logLeaving(run_);
     }
-    if (head.restUnreadable) {
+    if (head.backoffUnreadable) {
         run_.context.counters.add("rests_unreadable");
         logRestUnreadable(run_);
     }
-    if (head.restFor && *head.restFor > kernel::Duration(0)) {
+    if (head.backoffFor && *head.backoffFor > kernel::Duration(0)) {
         run_.context.counters.add("rests_asked");
-        run_.world.servers().noteRest(server_, *head.restFor, run_.context.now());
-        logRest(run_, *head.restFor);
+        run_.world.servers().noteBackoff(server_, *head.backoffFor, run_.context.now());
+        logRest(run_, *head.backoffFor);
     }
 }
 
 asio::awaitable<AttemptEnd> BackendExchange::exchange()
 {
-    forward::SendOrder order;
+    forward::SendContext order;
     order.server = server_;
     order.left = run_.left();
     order.organisation = run_.organisation;
@@ -224,7 +224,7 @@
     order.resumeAfter = run_.lastEvent;
     http::Request passed = run_.world.adapter().dialect.writeRequest(run_.request, order);
     passed.fields = http::endToEnd(passed.fields);
-    if (run_.world.servers().restLeft(server_.id, run_.context.now()) > kernel::Duration(0)) {
+    if (run_.world.servers().backoffLeft(server_.id, run_.context.now()) > kernel::Duration(0)) {
         run_.context.counters.add("sends_into_rest");
     }
     logSend(run_);
@@ -248,7 +248,7 @@
     if (head.load) {
         run_.world.servers().noteLoad(server_.id, *head.load, now);
     }
-    run_.world.coldStarts().noteTold(server_.hash(), head.coldFor, now);
+    run_.world.coldStarts().noteReported(server_.hash(), head.coldFor, now);
     http::AnswerStart first = std::move(*start);
     const bool good = head.status / 100 == 2;
     if (run_.route.stream && good && !head.notRun) {
--- a/src/gateway/CrashStore.cpp
+++ b/src/gateway/CrashStore.cpp
@@ -80,8 +80,8 @@
 
 void CrashStore::noteChange(const CrashRecord &before, const CrashRecord &record)
 {
-    const bool stopped = forward::timesStopped(record) > 0;
-    const bool lifted = forward::timesStopped(before) > 0 && !stopped;
+    const bool stopped = forward::netFailedTrials(record) > 0;
+    const bool lifted = forward::netFailedTrials(before) > 0 && !stopped;
     if (lifted && crashes_.owns(record.request)) {
         toRemove_.insert(record.request);
     }
@@ -195,7 +195,7 @@
     for (const CrashRecord &record : crashes_.book().shared()) {
         const auto saved = saved_.find(record.request);
         const bool known = saved != saved_.end() && saved->second == record;
-        if (forward::timesStopped(record) > 0 && !known && crashes_.owns(record.request)) {
+        if (forward::netFailedTrials(record) > 0 && !known && crashes_.owns(record.request)) {
             due.push_back(record);
         }
     }
--- a/src/gateway/GatewayStatus.cpp
+++ b/src/gateway/GatewayStatus.cpp
@@ -45,8 +45,8 @@
                            {"hall", server->hall},
                            {"address", kernel::text(server->address)},
                            {"leaving", server->leaving},
-                           {"rests_ms", world.servers().restLeft(id, now) / 1ms},
-                           {"doubted", world.servers().doubted(id, now)},
+                           {"rests_ms", world.servers().backoffLeft(id, now) / 1ms},
+                           {"doubted", world.servers().isSuspected(id, now)},
                            {"load", world.servers().load(id, now)},
                            {"of_this_box", world.servers().ownLoadAt(id)}});
     }
@@ -71,10 +71,10 @@
     auto &crashes = context.kernel.find<services::CrashService>("crashes");
     json requests = json::array();
     for (const forward::CrashRecord &record : crashes.book().shared()) {
-        const forward::Standing standing = crashes.standing(record.request);
-        if (standing != forward::Standing::Free) {
+        const forward::SendRestriction restriction = crashes.restriction(record.request);
+        if (restriction != forward::SendRestriction::Free) {
             requests.push_back({{"identity", forward::text(record.request)},
-                                {"standing", text(standing)},
+                                {"standing", text(restriction)},
                                 {"servers", record.servers.size()},
                                 {"failed_trials", record.failedTrials}});
         }
--- a/src/gateway/PlaceService.cpp
+++ b/src/gateway/PlaceService.cpp
@@ -31,9 +31,9 @@
 
 // A box that knows of others and hears of none may be cut off from them all, and restarted so: it
 // keeps to the part of a box among some for a minute.
-forward::FleetMemoryPolicy startFleetPolicy(const kernel::BoxSettings &settings)
+forward::FleetSizeEstimatePolicy startFleetPolicy(const kernel::BoxSettings &settings)
 {
-    forward::FleetMemoryPolicy policy;
+    forward::FleetSizeEstimatePolicy policy;
     if (settings.gateway.seeds.size() > 1) {
         policy.guessFor = policy.rememberedFor;
     }
@@ -101,7 +101,7 @@
 {
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
     return {std::max<std::size_t>(members.owners().size(), 1),
-            std::max<std::size_t>(world_.servers().serversBeside(engine), 1)};
+            std::max<std::size_t>(world_.servers().serversInSameService(engine), 1)};
 }
 
 peer::PermitAnswer PlaceService::nameHolders(const peer::AskPermit &ask) const
@@ -154,7 +154,7 @@
 {
     const kernel::Instant now = context_.now();
     forward::ColdStarts &known = world_.coldStarts();
-    known.noteTold(ask.resource, std::chrono::milliseconds(ask.coldMs), now);
+    known.noteReported(ask.resource, std::chrono::milliseconds(ask.coldMs), now);
     const forward::ColdState state = known.state(ask.organisation, ask.resource, now);
     return state.cold() ? state.perSecond : fromThousandths(ask.coldPerSecond);
 }
@@ -181,8 +181,8 @@
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     starts_.setBound(settings.coldExcess, settings.coldSlack);
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
-    return starts_.grantAlone({server.hash(), state.perSecond, members.self()},
-                              fleetPart(server.hash()), now);
+    return starts_.grantWithoutOwner({server.hash(), state.perSecond, members.self()},
+                                     fleetPart(server.hash()), now);
 }
 
 peer::PermitAnswer PlaceService::decideStart(const peer::AskPermit &ask)
@@ -408,7 +408,7 @@
 
 std::uint32_t PlaceService::countAsk(const std::string &service)
 {
-    const auto count = asks_.try_emplace(service, forward::PlacePolicy{}.wordAge).first;
+    const auto count = asks_.try_emplace(service, forward::PlacePolicy{}.reportMaxAge).first;
     return static_cast<std::uint32_t>(std::lround(count->second.add(context_.now())));
 }
 
--- a/src/gateway/PlaceService.h
+++ b/src/gateway/PlaceService.h
@@ -6,11 +6,11 @@
  */
 #pragma once
 
-#include "forward/FleetMemory.h"
+#include "forward/ColdRateLimiter.h"
+#include "forward/FleetSizeEstimate.h"
 #include "forward/HolderIndex.h"
 #include "forward/PlaceLedger.h"
 #include "forward/RecentCount.h"
-#include "forward/StartLedger.h"
 #include "gateway/World.h"
 #include "peer/Messages.h"
 #include "services/MembershipService.h"
@@ -119,9 +119,9 @@
     forward::HolderIndex holders_;
     std::map<std::string, forward::RecentCount> asks_;          ///< Of this box, by service.
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_; ///< By request.
-    forward::FleetMemory fleet_;                                ///< Divides the retry budget.
-    forward::StartLedger starts_;                               ///< Of cold servers.
-    forward::FleetMemory startFleet_;                           ///< Divides the leave to start.
+    forward::FleetSizeEstimate fleet_;                          ///< Divides the retry budget.
+    forward::ColdRateLimiter starts_;                           ///< Of cold servers.
+    forward::FleetSizeEstimate startFleet_;                     ///< Divides the leave to start.
     std::deque<std::vector<std::uint64_t>> ownersBefore_;       ///< A view a second, newest last.
     std::map<std::uint64_t, int> silences_;                     ///< In a row, by owner.
     std::unique_ptr<services::Repeat> sweep_;
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -87,8 +87,9 @@
     run_.service = forward::chooseService(run_.route, kernel::hashOf(run_.call.id));
     const forward::Service *service = snapshot->service(run_.service);
     run_.movesParts = service != nullptr && service->movesParts;
-    const kernel::Duration patience =
-            run_.call.patience > 0s ? run_.call.patience : kernel::Duration(PatienceUntold);
+    const kernel::Duration patience = run_.call.callerTimeout > 0s
+                                              ? run_.call.callerTimeout
+                                              : kernel::Duration(PatienceUntold);
     run_.deadline = run_.began
                     + (run_.route.timeout > 0s ? std::min(patience, run_.route.timeout) : patience);
     run_.priority = run_.route.priority;
@@ -206,7 +207,7 @@
 // never taken without leave: one that is sent too much falls over.
 asio::awaitable<std::optional<forward::Choice>> RequestRun::chooseServer()
 {
-    forward::Wish wish;
+    forward::ServerRequirements wish;
     wish.service = run_.service;
     wish.prompt = run_.prompt();
     wish.tried = tried_;
@@ -232,11 +233,11 @@
     }
 }
 
-void RequestRun::noteNoServer(const forward::Wish &wish)
+void RequestRun::noteNoServer(const forward::ServerRequirements &wish)
 {
     const kernel::Instant now = run_.context.now();
-    allRest_ = run_.world.servers().allRest(wish, now);
-    if (!allRest_ && run_.world.servers().heldToPlaces(wish.service, now)) {
+    allRest_ = run_.world.servers().allBackingOff(wish, now);
+    if (!allRest_ && run_.world.servers().limitedToSlots(wish.service, now)) {
         run_.context.counters.add("held_to_places");
         run_.lastMessage = AllAtTheirPlaces;
     }
@@ -244,7 +245,8 @@
 
 // Where the chosen engine isn't known to hold the prompt's parts, nor any other, the box is asked
 // that remembers it for all. Gives true if it named some: then the choice is made anew.
-asio::awaitable<bool> RequestRun::learnHolders(forward::Wish &wish, const forward::Choice &choice)
+asio::awaitable<bool> RequestRun::learnHolders(forward::ServerRequirements &wish,
+                                               const forward::Choice &choice)
 {
     const bool wanted = wish.prompt != nullptr && wish.takeParts && !wish.holdersAsked;
     if (!wanted || run_.world.servers().sourceKnown(wish, choice, run_.context.now())) {
@@ -253,7 +255,7 @@
     wish.holdersAsked = true;
     PartsWord word = co_await places_.askForParts(run_.call.prompt);
     std::ranges::move(word.holders, std::back_inserter(wish.holders));
-    wish.beginners = std::move(word.beginners);
+    wish.firstPartHolders = std::move(word.beginners);
     co_return !wish.holders.empty();
 }
 
@@ -269,7 +271,8 @@
 }
 
 // Gives false if another server has to be chosen, which \a wish then leads to.
-asio::awaitable<bool> RequestRun::takePlace(forward::Wish &wish, forward::Choice &choice)
+asio::awaitable<bool> RequestRun::takePlace(forward::ServerRequirements &wish,
+                                            forward::Choice &choice)
 {
     forward::ListedServer asked = choice.server;
     if (wish.prompt == nullptr) {
@@ -302,7 +305,7 @@
 
 // After some cold servers that take no more, a warm one: each further ask would cost a message and
 // time.
-void RequestRun::barCold(forward::Wish &wish, const std::string &id)
+void RequestRun::barCold(forward::ServerRequirements &wish, const std::string &id)
 {
     wish.barred.push_back(id);
     if (wish.barred.size() < MostAsks) {
@@ -318,15 +321,16 @@
 
 // The server is chosen: what the owners said of the prompt's parts decides where it takes them
 // from, and those who ask for them next hear of it.
-asio::awaitable<void> RequestRun::settleParts(forward::Wish &wish, forward::Choice &choice)
+asio::awaitable<void> RequestRun::settleParts(forward::ServerRequirements &wish,
+                                              forward::Choice &choice)
 {
-    forward::ServerBook &servers = run_.world.servers();
-    servers.settleSource(wish, choice, run_.context.now());
+    forward::ServerTable &servers = run_.world.servers();
+    servers.updateSource(wish, choice, run_.context.now());
     const bool learned = co_await learnHolders(wish, choice);
     if (learned) {
-        servers.settleSource(wish, choice, run_.context.now());
+        servers.updateSource(wish, choice, run_.context.now());
     }
-    const auto first = servers.firstFor(wish);
+    const auto first = servers.preferredServer(wish);
     if (first && first->id != choice.server.id) {
         places_.tellHolder(*first, choice.server, forward::sharedPartsKey(run_.call.prompt));
     }
@@ -349,7 +353,7 @@
         return run_.counts.unsent < MostUnsent;
     }
     const bool ranOut =
-            run_.counts.sends >= run_.route.mostAttempts || run_.counts.rejected > MostRejections;
+            run_.counts.sends >= run_.route.maxAttempts || run_.counts.rejected > MostRejections;
     if (ranOut || (run_.counts.sends > 0 && !run_.repeatable())) {
         return false;
     }
--- a/src/gateway/RequestRun.h
+++ b/src/gateway/RequestRun.h
@@ -48,12 +48,15 @@
     boost::asio::awaitable<std::optional<Refusal>> takeLeave();
     boost::asio::awaitable<void> noteEnd(AttemptEnd end);
     boost::asio::awaitable<std::optional<forward::Choice>> chooseServer();
-    boost::asio::awaitable<bool> takePlace(forward::Wish &wish, forward::Choice &choice);
-    boost::asio::awaitable<bool> learnHolders(forward::Wish &wish, const forward::Choice &choice);
+    boost::asio::awaitable<bool> takePlace(forward::ServerRequirements &wish,
+                                           forward::Choice &choice);
+    boost::asio::awaitable<bool> learnHolders(forward::ServerRequirements &wish,
+                                              const forward::Choice &choice);
     void noteTrial(const forward::Choice &choice);
-    void noteNoServer(const forward::Wish &wish);
-    void barCold(forward::Wish &wish, const std::string &id);
-    boost::asio::awaitable<void> settleParts(forward::Wish &wish, forward::Choice &choice);
+    void noteNoServer(const forward::ServerRequirements &wish);
+    void barCold(forward::ServerRequirements &wish, const std::string &id);
+    boost::asio::awaitable<void> settleParts(forward::ServerRequirements &wish,
+                                             forward::Choice &choice);
     void givePlaceBack();
     boost::asio::awaitable<AttemptEnd> attempt();
     bool mayTryAgain(AttemptEnd end);
--- a/src/gateway/RunLog.cpp
+++ b/src/gateway/RunLog.cpp
@@ -34,8 +34,8 @@
                              {"left_ms", run.left() / 1ms},
                              {"config", run.world.snapshot()->version()},
                              {"config_age_ms", age ? *age / 1ms : -1}};
-    const forward::ServerBook &servers = run.world.servers();
-    if (const auto rest = servers.restLeft(run.choice.server.id, now); rest > 0s) {
+    const forward::ServerTable &servers = run.world.servers();
+    if (const auto rest = servers.backoffLeft(run.choice.server.id, now); rest > 0s) {
         fields["rest_left_ms"] = rest / 1ms;
     }
     if (const auto full = servers.fullLeft(run.choice.server.id, now); full > 0s) {
@@ -82,7 +82,7 @@
                 {{"request", run.call.id},
                  {"server", server},
                  {"asked_ms", asked / 1ms},
-                 {"rest_left_ms", run.world.servers().restLeft(server, now) / 1ms},
+                 {"rest_left_ms", run.world.servers().backoffLeft(server, now) / 1ms},
                  {"own_load", run.world.servers().ownLoadAt(server)}},
                 "A backend server asks this box for rest.");
 }
@@ -110,7 +110,7 @@
                 {{"request", run.call.id},
                  {"identity", forward::text(run.guard.identity())},
                  {"organisation", run.organisation},
-                 {"standing", text(leave.standing)},
+                 {"standing", text(leave.restriction)},
                  {"come_back_ms", leave.comeBack / 1ms},
                  {"sends", run.counts.sends}},
                 "The request isn't sent, as backend servers have ended under it.");
--- a/src/gateway/World.cpp
+++ b/src/gateway/World.cpp
@@ -44,13 +44,13 @@
                                           : forward::UnconfirmedKeys::Honour;
 }
 
-forward::BookPolicy policyOf(const kernel::BoxSettings &settings)
+forward::ServerPolicy policyOf(const kernel::BoxSettings &settings)
 {
-    forward::BookPolicy policy;
+    forward::ServerPolicy policy;
     policy.hall = settings.hall.text();
     policy.loadMultiple = settings.gateway.loadMultiple;
     policy.partRemembered = settings.gateway.partRemembered * 6;
-    policy.longestRest = settings.gateway.longestRest;
+    policy.maxBackoff = settings.gateway.longestRest;
     return policy;
 }
 
@@ -282,12 +282,13 @@
     const forward::ListedServer server = servers_.known(entry.server);
     const kernel::Instant now = context_.now();
     const auto known = servers_.find(server.id);
-    if (known && known->born && server.born && *known->born > *server.born) {
+    if (known && known->startNumber && server.startNumber
+        && *known->startNumber > *server.startNumber) {
         context_.counters.add("servers_born_before");
         return;
     }
     missing_.erase(server.id);
-    const bool newLife = known && known->born != server.born;
+    const bool newLife = known && known->startNumber != server.startNumber;
     if (newLife) {
         // Nothing that is known of the earlier life holds for this one.
         dropServer(server.id);
@@ -308,7 +309,7 @@
     if (serversKnown_ && (!known || newLife)) {
         coldStarts_.noteStarted(server.hash(), now);
     }
-    coldStarts_.noteTold(server.hash(), entry.coldFor, now);
+    coldStarts_.noteReported(server.hash(), entry.coldFor, now);
     servers_.put(server, serversKnown_ ? now : kernel::Instant());
 }
 
--- a/src/gateway/World.h
+++ b/src/gateway/World.h
@@ -7,7 +7,7 @@
 #include "forward/ColdStarts.h"
 #include "forward/FleetRetryBudget.h"
 #include "forward/Freshness.h"
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 #include "gateway/ObjectFeed.h"
 
 #include <functional>
@@ -55,7 +55,7 @@
     const forward::SnapshotPtr &snapshot() const { return snapshot_; }
 
     const forward::Freshness &freshness() const { return freshness_; }
-    forward::ServerBook &servers() { return servers_; }
+    forward::ServerTable &servers() { return servers_; }
     forward::FleetRetryBudget &budget() { return budget_; }
     forward::ColdStarts &coldStarts() { return coldStarts_; }
 
@@ -107,7 +107,7 @@
     Adapter adapter_;
     forward::SnapshotPtr snapshot_;
     forward::Freshness freshness_;
-    forward::ServerBook servers_;
+    forward::ServerTable servers_;
     forward::FleetRetryBudget budget_;
     forward::ColdStarts coldStarts_;
     std::set<std::string> drainedHalls_;
--- a/src/outcome/NextStep.cpp
+++ b/src/outcome/NextStep.cpp
@@ -2,9 +2,9 @@
 
 namespace limereel::outcome {
 
-NextStep afterFailure(const Verdict &verdict, int number, int mostAttempts, RetryBudget &budget)
+NextStep afterFailure(const Verdict &verdict, int number, int maxAttempts, RetryBudget &budget)
 {
-    if (!verdict.mayRetry || number >= mostAttempts) {
+    if (!verdict.mayRetry || number >= maxAttempts) {
         return {false, {verdict.code, verdict.ran, false}};
     }
     if (budget.spend()) {
--- a/src/outcome/NextStep.h
+++ b/src/outcome/NextStep.h
@@ -21,6 +21,6 @@
  * Decides what follows attempt \a number, which failed with \a verdict. A retry is taken out of \a
  * budget; if that is spent and nothing ran, the caller is told so.
  */
-NextStep afterFailure(const Verdict &verdict, int number, int mostAttempts, RetryBudget &budget);
+NextStep afterFailure(const Verdict &verdict, int number, int maxAttempts, RetryBudget &budget);
 
 } // namespace limereel::outcome
--- a/src/peer/Messages.h
+++ b/src/peer/Messages.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "forward/CrashBook.h"
+#include "forward/CrashTable.h"
 #include "membership/BoxState.h"
 
 #include <compare>
--- a/src/services/CrashGuard.cpp
+++ b/src/services/CrashGuard.cpp
@@ -62,7 +62,7 @@
 
 bool CrashGuard::needsLeave()
 {
-    return isKnown() && crashes_.standing(identity()) != forward::Standing::Free;
+    return isKnown() && crashes_.restriction(identity()) != forward::SendRestriction::Free;
 }
 
 void CrashGuard::handBack()
--- a/src/services/CrashService.cpp
+++ b/src/services/CrashService.cpp
@@ -18,7 +18,7 @@
 
 using forward::CrashRecord;
 using forward::RequestIdentity;
-using forward::Standing;
+using forward::SendRestriction;
 
 namespace {
 
@@ -53,13 +53,13 @@
 
 outcome::ResultCode codeOf(const SendLeave &leave)
 {
-    return leave.standing == Standing::Stopped ? outcome::ResultCode::EndsServers
-                                               : outcome::ResultCode::RunsAlone;
+    return leave.restriction == SendRestriction::Stopped ? outcome::ResultCode::EndsServers
+                                                         : outcome::ResultCode::RunsAlone;
 }
 
 std::string whyNoLeave(const SendLeave &leave)
 {
-    return leave.standing == Standing::Stopped
+    return leave.restriction == SendRestriction::Stopped
                    ? "each backend server that began to run this request has ended"
                    : "backend servers have ended under this request; it is tried by itself now";
 }
@@ -99,15 +99,15 @@
 asio::awaitable<SendLeave> CrashService::askLeave(RequestIdentity request, kernel::Duration longest)
 {
     SendLeave leave;
-    leave.standing = standing(request);
-    if (leave.standing == Standing::Alone) {
+    leave.restriction = restriction(request);
+    if (leave.restriction == SendRestriction::Alone) {
         leave = co_await askAlone(request, longest);
     }
-    if (leave.standing == Standing::Stopped) {
-        leave.comeBack = book_.heldFor(request, context_.now());
+    if (leave.restriction == SendRestriction::Stopped) {
+        leave.comeBack = book_.stoppedFor(request, context_.now());
     }
-    if (leave.standing != Standing::Free) {
-        context_.counters.add("crash_leaves", {{"standing", text(leave.standing)},
+    if (leave.restriction != SendRestriction::Free) {
+        context_.counters.add("crash_leaves", {{"standing", text(leave.restriction)},
                                                {"granted", leave.granted() ? "yes" : "no"}});
     }
     co_return leave;
@@ -130,8 +130,8 @@
         co_await lookUp_(request);
     }
     SendLeave leave;
-    leave.standing = standing(request);
-    if (leave.standing == Standing::Alone) {
+    leave.restriction = restriction(request);
+    if (leave.restriction == SendRestriction::Alone) {
         leave.alone = granted ? ask : 0;
         leave.comeBack = word ? 1ms * word->comeBackMs : LongestComeBack;
     } else if (granted) {
@@ -229,7 +229,7 @@
 asio::awaitable<void> CrashService::tellEnd(LostAttempt lost)
 {
     const CrashRecord before = book_.record(lost.request);
-    if (!book_.noteEnd(lost.request, lost.server, lost.ranAlone, context_.now())) {
+    if (!book_.noteCrash(lost.request, lost.server, lost.ranAlone, context_.now())) {
         // The same request ran there twice: the end was counted already.
         handBack(lost.request, lost.alone);
         co_return;
@@ -239,7 +239,7 @@
     peer::CrashReport report = reportOf(lost.request, peer::CrashMatter::Ended);
     report.ask = lost.alone != 0 ? lost.alone : report.ask;
     const auto word = co_await askOwner(std::move(report));
-    if (!word && standing(lost.request) != Standing::Free) {
+    if (!word && restriction(lost.request) != SendRestriction::Free) {
         tellAll(lost.request);
     }
 }
@@ -350,12 +350,13 @@
     const kernel::Instant now = context_.now();
     take(report.record);
     if (report.matter != peer::CrashMatter::AskAlone) {
-        alone_.over(request, report.ask);
+        alone_.releaseLease(request, report.ask);
     }
     peer::CrashWord word;
     word.ask = report.ask;
-    if (report.matter == peer::CrashMatter::AskAlone && standing(request) == Standing::Alone) {
-        const auto wait = alone_.take(request, report.ask, now + 1ms * report.forMs, now);
+    if (report.matter == peer::CrashMatter::AskAlone
+        && restriction(request) == SendRestriction::Alone) {
+        const auto wait = alone_.tryAcquire(request, report.ask, now + 1ms * report.forMs, now);
         word.granted = wait == kernel::Duration::zero();
         word.comeBackMs = static_cast<std::uint32_t>(
                 std::clamp<kernel::Duration>(wait, ShortestComeBack, LongestComeBack) / 1ms);
@@ -367,7 +368,7 @@
 void CrashService::take(const CrashRecord &record)
 {
     const CrashRecord before = book_.record(record.request);
-    if (book_.take(record, context_.now())) {
+    if (book_.merge(record, context_.now())) {
         noteChange(before);
     }
 }
@@ -385,7 +386,7 @@
     context_.counters.set("crash_records", static_cast<double>(book_.size()));
     log().event("request-known",
                 {{"identity", forward::text(record.request)},
-                 {"standing", text(standing(record.request))},
+                 {"standing", text(restriction(record.request))},
                  {"servers", record.servers.size()},
                  {"servers_before", before.servers.size()},
                  {"failed_trials", record.failedTrials},
--- a/src/services/CrashService.h
+++ b/src/services/CrashService.h
@@ -1,15 +1,15 @@
 /** \file
  * Keeps requests that end backend servers from going through the fleet server by server: takes in
  * under which requests servers ended, asks and answers as the owner of such a request, and tells
- * all boxes of those that don't run freely (forward/CrashBook.h decides).
+ * all boxes of those that don't run freely (forward/CrashTable.h decides).
  *
  * The owner of a request is found by rendezvous hashing over the live boxes, so that ends seen by
  * different boxes are summed at one. Without its word a request that has to run alone isn't sent.
  */
 #pragma once
 
-#include "forward/AloneLedger.h"
-#include "forward/CrashBook.h"
+#include "forward/CrashTable.h"
+#include "forward/SingleSendLeases.h"
 #include "outcome/ResultCode.h"
 #include "peer/Messages.h"
 #include "services/Context.h"
@@ -30,11 +30,11 @@
 /** Whether a request may be sent now. */
 struct SendLeave
 {
-    forward::Standing standing = forward::Standing::Free;
+    forward::SendRestriction restriction = forward::SendRestriction::Free;
     std::uint64_t alone = 0;     ///< The leave to send it alone, to be handed back; 0: none.
     kernel::Duration comeBack{}; ///< Where it may not be sent: not before this.
 
-    bool granted() const { return standing == forward::Standing::Free || alone != 0; }
+    bool granted() const { return restriction == forward::SendRestriction::Free || alone != 0; }
 };
 
 /** The result of a request that got no \a leave. */
@@ -67,9 +67,9 @@
     /** Whether a request of this shape has to be looked at before it is sent. */
     bool concerns(std::uint64_t shape) const { return book_.concerns(shape); }
 
-    forward::Standing standing(const forward::RequestIdentity &request)
+    forward::SendRestriction restriction(const forward::RequestIdentity &request)
     {
-        return book_.standing(request, context_.now());
+        return book_.restriction(request, context_.now());
     }
 
     /** Asks whether \a request may be sent. A send alone takes \a longest at most. */
@@ -113,7 +113,7 @@
                                        const forward::CrashRecord &record)>;
     void onChange(Changed changed) { changed_.push_back(std::move(changed)); }
 
-    const forward::CrashBook &book() const { return book_; }
+    const forward::CrashTable &book() const { return book_; }
 
 private:
     struct Pending
@@ -161,8 +161,8 @@
     void receive(const peer::Message &message, const kernel::Endpoint &from);
 
     Context &context_;
-    forward::CrashBook book_;
-    forward::AloneLedger alone_;
+    forward::CrashTable book_;
+    forward::SingleSendLeases alone_;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_; ///< By ask.
     std::vector<Unsettled> unsettled_;
     std::set<std::uint64_t> lookedAt_; ///< Lives of servers that are looked at again.
--- a/src/services/RestService.h
+++ b/src/services/RestService.h
@@ -1,10 +1,10 @@
 /** \file
  * Which backend servers have asked this box for rest over the own interface. Every way of a request
- * through it asks here before it sends; the decision itself is RestBook's.
+ * through it asks here before it sends; the decision itself is BackoffTable's.
  */
 #pragma once
 
-#include "forward/RestBook.h"
+#include "forward/BackoffTable.h"
 #include "http/RetryAfter.h"
 #include "services/Context.h"
 #include "services/Repeat.h"
@@ -34,7 +34,7 @@
 
 private:
     Context &context_;
-    forward::RestBook book_;
+    forward::BackoffTable book_;
     std::unique_ptr<Repeat> sweep_;
 };
 
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -164,7 +164,7 @@
             ++handler_.inFlight_[runner->backend.hash()];
             auto answer = co_await call(*runner);
             --handler_.inFlight_[runner->backend.hash()];
-            noteRest(*runner, answer);
+            noteBackoff(*runner, answer);
             const auto failure = judgeAnswer(answer);
             co_await noteEnd(*runner, failure);
             if (!failure) {
@@ -218,8 +218,8 @@
                                    ComeBackAfterFailure);
     }
 
-    void noteRest(const store::ListedBackend &runner,
-                  const tl::expected<http::Answer, http::CallFailure> &answer)
+    void noteBackoff(const store::ListedBackend &runner,
+                     const tl::expected<http::Answer, http::CallFailure> &answer)
     {
         if (answer) {
             context_.kernel.find<RestService>("rests").note(
--- a/test/correctness/RestBookTest.cpp
+++ b/test/correctness/BackoffTableTest.cpp
@@ -1,11 +1,11 @@
 // Until when backend servers have asked a box for rest.
 
-#include "forward/RestBook.h"
+#include "forward/BackoffTable.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace limereel;
-using forward::RestBook;
+using forward::BackoffTable;
 
 namespace {
 
@@ -13,11 +13,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(RestBookTest)
+BOOST_AUTO_TEST_SUITE(BackoffTableTest)
 
 BOOST_AUTO_TEST_CASE(note_shorterWordDuringALongerRest_doesNotCutIt)
 {
-    RestBook rests(600s);
+    BackoffTable rests(600s);
     BOOST_TEST((rests.note(1, 30s, Start) == Start + 30s));
     BOOST_TEST((rests.note(1, 3s, Start + 1s) == Start + 30s));
     BOOST_TEST((rests.note(1, 3s, Start + 29s) == Start + 32s));
@@ -26,20 +26,20 @@
 
 BOOST_AUTO_TEST_CASE(note_longerThanIsKept_isCutToThat)
 {
-    RestBook rests(10s);
+    BackoffTable rests(10s);
     BOOST_TEST((rests.note(1, kernel::Duration(24h), Start) == Start + 10s));
 }
 
 BOOST_AUTO_TEST_CASE(until_anotherLife_restsNot)
 {
-    RestBook rests(600s);
+    BackoffTable rests(600s);
     rests.note(1, 30s, Start);
     BOOST_TEST((rests.until(2) == kernel::Instant()));
 }
 
 BOOST_AUTO_TEST_CASE(expire_restsThatAreOver_areForgottenAndOthersKept)
 {
-    RestBook rests(600s);
+    BackoffTable rests(600s);
     rests.note(1, 3s, Start);
     rests.note(2, 5s, Start);
     rests.expire(Start + 3s);
--- a/test/correctness/ColdStartTest.cpp
+++ b/test/correctness/ColdStartTest.cpp
@@ -1,9 +1,9 @@
 // Cold backend servers: which ones a box takes for cold, and how many requests a second all boxes
 // together send to one, whatever they know of each other.
 
+#include "forward/ColdRateLimiter.h"
 #include "forward/ColdStarts.h"
-#include "forward/FleetMemory.h"
-#include "forward/StartLedger.h"
+#include "forward/FleetSizeEstimate.h"
 #include "kernel/decisions/Name.h"
 
 #include <algorithm>
@@ -49,9 +49,9 @@
 BOOST_AUTO_TEST_CASE(state_laterWordThatItIsWarm_doesNotMakeItWarm)
 {
     ColdStarts starts = poolOf({3s, 8.9});
-    starts.noteTold(Server, 2500ms, at(0s));
-    starts.noteTold(Server, 0ms, at(1s));
-    starts.noteTold(Server, 500ms, at(1s));
+    starts.noteReported(Server, 2500ms, at(0s));
+    starts.noteReported(Server, 0ms, at(1s));
+    starts.noteReported(Server, 500ms, at(1s));
     BOOST_TEST(starts.state(Pool, Server, at(2400ms)).cold());
     BOOST_TEST(!starts.state(Pool, Server, at(2500ms)).cold());
 }
@@ -60,7 +60,7 @@
 {
     ColdStarts starts = poolOf({3s, 0});
     starts.noteStarted(Server, at(0s));
-    starts.noteTold(Server, 3s, at(0s));
+    starts.noteReported(Server, 3s, at(0s));
     BOOST_TEST(!starts.state(Pool, Server, at(1s)).cold());
     BOOST_TEST(!starts.state(kernel::hashOf("other"), Server, at(1s)).cold());
 }
@@ -68,7 +68,7 @@
 BOOST_AUTO_TEST_CASE(noteTold_absurdTime_endsAllTheSame)
 {
     ColdStarts starts = poolOf({3s, 8.9});
-    starts.noteTold(Server, 1000000s, at(0s));
+    starts.noteReported(Server, 1000000s, at(0s));
     BOOST_TEST(!starts.state(Pool, Server, at(61s)).cold());
 }
 
@@ -93,14 +93,14 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(StartLedgerTest)
+BOOST_AUTO_TEST_SUITE(ColdRateLimiterTest)
 
 namespace {
 
-constexpr StartPolicy Policy{.excess = 1.5, .slack = 5};
+constexpr ColdRatePolicy Policy{.excess = 1.5, .slack = 5};
 constexpr double PerSecond = 8.9;
 
-int grantedIn(StartLedger &ledger, const FleetPart &fleet, kernel::Duration from)
+int grantedIn(ColdRateLimiter &ledger, const FleetPart &fleet, kernel::Duration from)
 {
     int granted = 0;
     for (kernel::Duration since = from; since < from + 1s; since += 5ms) {
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_CASE(grant_manyAsks_staysBelowHalfOfTheBoundAndUsesMostOfItsPart)
 {
-    StartLedger ledger(Policy);
+    ColdRateLimiter ledger(Policy);
     int all = 0;
     constexpr int Seconds = 10;
     for (int second = 0; second < Seconds; ++second) {
@@ -126,7 +126,7 @@
 
 BOOST_AUTO_TEST_CASE(grant_ownerHasSettled_grantsMostOfWhatTheServerBearsAndLessThanTheBound)
 {
-    StartLedger ledger(Policy);
+    ColdRateLimiter ledger(Policy);
     for (int second = 0; second < 10; ++second) {
         const int granted = grantedIn(ledger, {70, 70, true}, 1s * second);
         BOOST_TEST(granted <= ledger.bound(PerSecond) * 3 / 4);
@@ -141,8 +141,8 @@
 // Who owns it from now on doesn't know what the owner before has granted in this second.
 BOOST_AUTO_TEST_CASE(grant_ownerChanges_newOneBeginsWithHalf)
 {
-    StartLedger before(Policy);
-    StartLedger after(Policy);
+    ColdRateLimiter before(Policy);
+    ColdRateLimiter after(Policy);
     grantedIn(before, {70, 70}, 0s);
     const int first = grantedIn(after, {70, 70}, 1s);
     BOOST_TEST(first <= before.bound(PerSecond) / 4);
@@ -151,7 +151,7 @@
 
 BOOST_AUTO_TEST_CASE(grant_noBoundIsSet_isWhatTheServerBears)
 {
-    StartLedger ledger;
+    ColdRateLimiter ledger;
     BOOST_TEST(ledger.bound(10) == 10);
     BOOST_TEST(grantedIn(ledger, {1, 1}, 0s) <= 10);
 }
@@ -162,7 +162,7 @@
     int granted = 0;
     constexpr int Seconds = 20;
     for (std::uint64_t box = 1; box <= 25; ++box) {
-        StartLedger ledger(Policy);
+        ColdRateLimiter ledger(Policy);
         for (kernel::Duration since = 0s; since < 1s * Seconds; since += 20ms) {
             granted += ledger.grant({Server, PerSecond, box}, {1, 73}, at(since)) ? 1 : 0;
         }
@@ -174,11 +174,11 @@
 BOOST_AUTO_TEST_CASE(grantAlone_wholeFleetWithoutOwners_staysBelowTheBound)
 {
     constexpr std::uint64_t Boxes = 73;
-    std::vector<StartLedger> ledgers(Boxes, StartLedger(Policy));
+    std::vector<ColdRateLimiter> ledgers(Boxes, ColdRateLimiter(Policy));
     std::vector<kernel::Instant> sent;
     for (kernel::Duration since = 0s; since < 30s; since += 10ms) {
         for (std::uint64_t box = 0; box < Boxes; ++box) {
-            if (ledgers[box].grantAlone({Server, PerSecond, box}, {1, Boxes}, at(since))) {
+            if (ledgers[box].grantWithoutOwner({Server, PerSecond, box}, {1, Boxes}, at(since))) {
                 sent.push_back(at(since));
             }
         }
@@ -196,8 +196,8 @@
 /** One box of a simulated fleet, and what it takes the fleet for. */
 struct Box
 {
-    StartLedger ledger{Policy};
-    FleetMemory memory{{.guess = 32, .guessFor = 60s, .rememberedFor = 60s}};
+    ColdRateLimiter ledger{Policy};
+    FleetSizeEstimate memory{{.guess = 32, .guessFor = 60s, .rememberedFor = 60s}};
     std::size_t owner = 0; ///< Whom it asks.
     std::size_t seen = 0;
     bool cut = false; ///< From all other boxes.
@@ -275,8 +275,8 @@
             box.owns = now;
             break;
         case 1:
-            box.ledger = StartLedger(Policy);
-            box.memory = FleetMemory({.guess = 32, .guessFor = 60s, .rememberedFor = 60s});
+            box.ledger = ColdRateLimiter(Policy);
+            box.memory = FleetSizeEstimate({.guess = 32, .guessFor = 60s, .rememberedFor = 60s});
             // It starts, reads the configuration and is heard of again.
             box.downUntil = now + 1ms * (500 + random_() % 1000);
             box.owns = box.downUntil;
@@ -314,7 +314,7 @@
             granted = asked.ledger.grant({Server, PerSecond, owner}, part(asked, now), now);
         }
         if (!reached || lost) {
-            granted = box.ledger.grantAlone({Server, PerSecond, index}, part(box, now), now);
+            granted = box.ledger.grantWithoutOwner({Server, PerSecond, index}, part(box, now), now);
         }
         if (granted) {
             // Slow boxes send late.
@@ -332,7 +332,7 @@
 
 BOOST_AUTO_TEST_CASE(fleet_anyHistoryOfCutsRestartsLostWordsAndTwoOwners_noSecondIsAboveTheBound)
 {
-    const double bound = StartLedger(Policy).bound(PerSecond);
+    const double bound = ColdRateLimiter(Policy).bound(PerSecond);
     for (std::uint64_t seed = 1; seed <= 250; ++seed) {
         Fleet fleet(8 + seed % 60, seed);
         fleet.play(20s);
--- a/test/correctness/CrashFleetTest.cpp
+++ b/test/correctness/CrashFleetTest.cpp
@@ -2,8 +2,8 @@
 // late or not at all, servers that end by themselves and under requests. Held against the plain
 // rule: a harmless request is never stopped, one that ends its servers is stopped in time.
 
-#include "forward/AloneLedger.h"
-#include "forward/CrashBook.h"
+#include "forward/CrashTable.h"
+#include "forward/SingleSendLeases.h"
 #include "membership/Ownership.h"
 
 #include <algorithm>
@@ -82,8 +82,8 @@
 private:
     struct Box
     {
-        CrashBook book;
-        AloneLedger ledger;
+        CrashTable book;
+        SingleSendLeases ledger;
     };
 
     struct Event
@@ -138,11 +138,11 @@
 
     void ask(std::size_t number, std::size_t box)
     {
-        const Standing standing = boxes_[box].book.standing(identity(number), now_);
-        outcomes_[number].stops += standing == Standing::Stopped ? 1 : 0;
-        if (standing == Standing::Free) {
+        const SendRestriction restriction = boxes_[box].book.restriction(identity(number), now_);
+        outcomes_[number].stops += restriction == SendRestriction::Stopped ? 1 : 0;
+        if (restriction == SendRestriction::Free) {
             send({.number = number, .box = box});
-        } else if (standing == Standing::Alone && arrives()) {
+        } else if (restriction == SendRestriction::Alone && arrives()) {
             after(1ms, [this, number, box] { grant(number, box); });
         }
     }
@@ -153,8 +153,8 @@
         tell(box, ownerOf(number), number);
         const std::uint64_t ask = ++lastAsk_;
         const bool granted =
-                owner.book.standing(identity(number), now_) == Standing::Alone
-                && owner.ledger.take(identity(number), ask, now_ + LongestAlone, now_) == 0s;
+                owner.book.restriction(identity(number), now_) == SendRestriction::Alone
+                && owner.ledger.tryAcquire(identity(number), ask, now_ + LongestAlone, now_) == 0s;
         if (granted && arrives()) {
             after(1ms,
                   [this, number, box, ask] { send({.number = number, .box = box, .alone = ask}); });
@@ -184,7 +184,7 @@
         begun.life = lives_[begun.server];
         if (begun.life == 0) {
             // Nothing listens there: not sent, and the leave goes back.
-            boxes_[ownerOf(begun.number)].ledger.over(identity(begun.number), begun.alone);
+            boxes_[ownerOf(begun.number)].ledger.releaseLease(identity(begun.number), begun.alone);
             return;
         }
         Outcome &outcome = outcomes_[begun.number];
@@ -211,7 +211,7 @@
         if (boxes_[send.box].book.forget(request, now_)) {
             tellOwner(send.box, send.number);
         }
-        boxes_[ownerOf(send.number)].ledger.over(request, send.alone);
+        boxes_[ownerOf(send.number)].ledger.releaseLease(request, send.alone);
     }
 
     void endServer(std::size_t server, std::uint64_t life)
@@ -224,19 +224,19 @@
         for (std::size_t index = 0; index < sends_.size(); ++index) {
             if (!sends_[index].over && sends_[index].life == life) {
                 sends_[index].over = true;
-                after(2ms, [this, index] { noteEnd(sends_[index]); });
+                after(2ms, [this, index] { noteCrash(sends_[index]); });
             }
         }
     }
 
-    void noteEnd(const Send &send)
+    void noteCrash(const Send &send)
     {
         Outcome &outcome = outcomes_[send.number];
         if (++outcome.ends == 3) {
             outcome.third = now_;
         }
-        boxes_[send.box].book.noteEnd(identity(send.number), send.life, send.alone != 0, now_);
-        boxes_[ownerOf(send.number)].ledger.over(identity(send.number), send.alone);
+        boxes_[send.box].book.noteCrash(identity(send.number), send.life, send.alone != 0, now_);
+        boxes_[ownerOf(send.number)].ledger.releaseLease(identity(send.number), send.alone);
         tellOwner(send.box, send.number);
     }
 
@@ -254,7 +254,7 @@
     void tell(std::size_t from, std::size_t to, std::size_t number)
     {
         const CrashRecord record = boxes_[from].book.record(identity(number));
-        if (boxes_[to].book.take(record, now_) && to == ownerOf(number)) {
+        if (boxes_[to].book.merge(record, now_) && to == ownerOf(number)) {
             tellAll(number);
         }
     }
--- a/test/correctness/CrashBookTest.cpp
+++ b/test/correctness/CrashTableTest.cpp
@@ -1,8 +1,8 @@
 // Requests under which backend servers end: what is counted, what stops, what clears, and that
 // records say the same whatever way they were joined.
 
-#include "forward/CrashBook.h"
-#include "forward/AloneLedger.h"
+#include "forward/CrashTable.h"
+#include "forward/SingleSendLeases.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -28,11 +28,11 @@
 public:
     void end(std::uint64_t server, bool alone = false, kernel::Duration since = 0s)
     {
-        book.noteEnd(Guilty, server, alone, at(since));
+        book.noteCrash(Guilty, server, alone, at(since));
     }
 
     const RequestIdentity Guilty = request(1);
-    CrashBook book;
+    CrashTable book;
 };
 
 CrashRecord randomRecord(std::mt19937_64 &random)
@@ -51,20 +51,20 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(CrashBookTest, BookFixture)
+BOOST_FIXTURE_TEST_SUITE(CrashTableTest, BookFixture)
 
 BOOST_AUTO_TEST_CASE(standing_serversEndOneAfterTheOther_freeThenAloneThenStopped)
 {
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Free));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
     end(1);
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Free));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
     end(1);
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Free));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
     end(2);
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Alone));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Alone));
     end(3, true);
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Stopped));
-    BOOST_TEST((book.standing(request(2), at(0s)) == Standing::Free));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Stopped));
+    BOOST_TEST((book.restriction(request(2), at(0s)) == SendRestriction::Free));
 }
 
 // A popular request runs on many servers at once; a storm that ends them all proves nothing.
@@ -73,9 +73,9 @@
     for (std::uint64_t server = 1; server <= 40; ++server) {
         end(server);
     }
-    BOOST_TEST((book.standing(Guilty, at(0s)) == Standing::Alone));
+    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Alone));
     BOOST_TEST(book.forget(Guilty, at(1s)));
-    BOOST_TEST((book.standing(Guilty, at(1s)) == Standing::Free));
+    BOOST_TEST((book.restriction(Guilty, at(1s)) == SendRestriction::Free));
     BOOST_TEST(!book.forget(Guilty, at(1s)));
 }
 
@@ -86,15 +86,16 @@
     end(2);
     kernel::Duration now = 0s;
     std::uint64_t server = 10;
-    for (std::uint32_t trial = 1; trial < policy.mostTrials; ++trial) {
+    for (std::uint32_t trial = 1; trial < policy.maxFailedTrials; ++trial) {
         end(server++, true, now);
-        const kernel::Duration held = book.heldFor(Guilty, at(now));
-        BOOST_TEST((book.standing(Guilty, at(now + held - 1s)) == Standing::Stopped));
+        const kernel::Duration held = book.stoppedFor(Guilty, at(now));
+        BOOST_TEST((book.restriction(Guilty, at(now + held - 1s)) == SendRestriction::Stopped));
         now += held;
-        BOOST_TEST((book.standing(Guilty, at(now)) == Standing::Alone));
+        BOOST_TEST((book.restriction(Guilty, at(now)) == SendRestriction::Alone));
     }
     end(server, true, now);
-    BOOST_TEST((book.standing(Guilty, at(now + 10 * policy.remembered)) == Standing::Stopped));
+    BOOST_TEST((book.restriction(Guilty, at(now + 10 * policy.remembered))
+                == SendRestriction::Stopped));
 }
 
 // A popular harmless request often runs where a guilty one ends a server, also when it runs alone.
@@ -107,11 +108,11 @@
     end(3);
     end(4);
     end(5, true);
-    BOOST_TEST((book.standing(Guilty, at(3s)) == Standing::Alone));
+    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Alone));
     end(6, true);
-    BOOST_TEST((book.standing(Guilty, at(3s)) == Standing::Alone));
+    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Alone));
     end(7, true);
-    BOOST_TEST((book.standing(Guilty, at(3s)) == Standing::Stopped));
+    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Stopped));
 }
 
 BOOST_AUTO_TEST_CASE(take_forgottenElsewhere_olderRoundsSayNothing)
@@ -120,14 +121,14 @@
     end(2);
     const CrashRecord before = book.record(Guilty);
     book.forget(Guilty, at(1s));
-    BOOST_TEST(!book.take(before, at(2s)));
-    BOOST_TEST((book.standing(Guilty, at(2s)) == Standing::Free));
+    BOOST_TEST(!book.merge(before, at(2s)));
+    BOOST_TEST((book.restriction(Guilty, at(2s)) == SendRestriction::Free));
     BOOST_TEST(book.isShared(Guilty));
 }
 
 BOOST_AUTO_TEST_CASE(take_nothingIsKnownOnEitherSide_nothingIsKept)
 {
-    BOOST_TEST(!book.take({.request = Guilty}, at(0s)));
+    BOOST_TEST(!book.merge({.request = Guilty}, at(0s)));
     BOOST_TEST(book.size() == 0U);
     BOOST_TEST(!book.concerns(Guilty.shape));
 }
@@ -139,23 +140,23 @@
         const CrashRecord a = randomRecord(random);
         const CrashRecord b = randomRecord(random);
         const CrashRecord c = randomRecord(random);
-        BOOST_TEST((joined(a, b) == joined(b, a)));
-        BOOST_TEST((joined(joined(a, b), c) == joined(a, joined(b, c))));
-        BOOST_TEST((joined(a, a) == a));
+        BOOST_TEST((mergedRecord(a, b) == mergedRecord(b, a)));
+        BOOST_TEST((mergedRecord(mergedRecord(a, b), c) == mergedRecord(a, mergedRecord(b, c))));
+        BOOST_TEST((mergedRecord(a, a) == a));
     }
 }
 
 BOOST_AUTO_TEST_CASE(records_floodOfOthers_stoppedOnesStay)
 {
-    CrashBook small{CrashPolicy{.records = 100}};
-    small.noteEnd(Guilty, 1, false, at(0s));
-    small.noteEnd(Guilty, 2, false, at(0s));
-    small.noteEnd(Guilty, 3, true, at(0s));
+    CrashTable small{CrashPolicy{.records = 100}};
+    small.noteCrash(Guilty, 1, false, at(0s));
+    small.noteCrash(Guilty, 2, false, at(0s));
+    small.noteCrash(Guilty, 3, true, at(0s));
     for (std::uint64_t number = 2; number < 5000; ++number) {
-        small.noteEnd(request(number), number, false, at(1s));
+        small.noteCrash(request(number), number, false, at(1s));
     }
     BOOST_TEST(small.size() == 100U);
-    BOOST_TEST((small.standing(Guilty, at(2s)) == Standing::Stopped));
+    BOOST_TEST((small.restriction(Guilty, at(2s)) == SendRestriction::Stopped));
 }
 
 BOOST_AUTO_TEST_CASE(expire_oldRecords_areDroppedWithTheirShapes)
@@ -170,15 +171,15 @@
 
 BOOST_AUTO_TEST_CASE(aloneLedger_oneSendRuns_othersComeBackWhenItIsOver)
 {
-    AloneLedger ledger;
-    BOOST_TEST((ledger.take(Guilty, 1, at(5s), at(0s)) == 0s));
-    BOOST_TEST((ledger.take(Guilty, 2, at(6s), at(1s)) == 4s));
-    BOOST_TEST((ledger.take(Guilty, 1, at(5s), at(1s)) == 0s));
-    ledger.over(Guilty, 2);
-    BOOST_TEST((ledger.take(Guilty, 2, at(6s), at(1s)) == 4s));
-    ledger.over(Guilty, 1);
-    BOOST_TEST((ledger.take(Guilty, 2, at(6s), at(1s)) == 0s));
-    BOOST_TEST((ledger.take(Guilty, 3, at(9s), at(7s)) == 0s));
+    SingleSendLeases ledger;
+    BOOST_TEST((ledger.tryAcquire(Guilty, 1, at(5s), at(0s)) == 0s));
+    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 4s));
+    BOOST_TEST((ledger.tryAcquire(Guilty, 1, at(5s), at(1s)) == 0s));
+    ledger.releaseLease(Guilty, 2);
+    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 4s));
+    ledger.releaseLease(Guilty, 1);
+    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 0s));
+    BOOST_TEST((ledger.tryAcquire(Guilty, 3, at(9s), at(7s)) == 0s));
     ledger.expire(at(20s));
     BOOST_TEST(ledger.size() == 0U);
 }
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -2,11 +2,11 @@
 // cutter, part index and the book of backend servers.
 
 #include "forward/EventCutter.h"
-#include "forward/FleetMemory.h"
 #include "forward/FleetRetryBudget.h"
+#include "forward/FleetSizeEstimate.h"
 #include "forward/Freshness.h"
 #include "forward/PartIndex.h"
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 #include "forward/Snapshot.h"
 
 #include <boost/test/unit_test.hpp>
@@ -55,13 +55,13 @@
     return prompt;
 }
 
-Wish wishFor(const Prompt *prompt = nullptr)
+ServerRequirements requirementsFor(const Prompt *prompt = nullptr)
 {
-    Wish wish;
-    wish.service = "pool";
-    wish.prompt = prompt;
-    wish.takeParts = true;
-    return wish;
+    ServerRequirements requirements;
+    requirements.service = "pool";
+    requirements.prompt = prompt;
+    requirements.takeParts = true;
+    return requirements;
 }
 
 struct BookFixture
@@ -73,13 +73,13 @@
         }
     }
 
-    std::string chosen(const Wish &wish, kernel::Duration when = 0s)
+    std::string chosen(const ServerRequirements &requirements, kernel::Duration when = 0s)
     {
-        const auto choice = book.choose(wish, at(when), random);
+        const auto choice = book.choose(requirements, at(when), random);
         return choice ? choice->server.id : "none";
     }
 
-    ServerBook book{BookPolicy{}};
+    ServerTable book{ServerPolicy{}};
     std::mt19937_64 random{7};
 };
 
@@ -267,7 +267,7 @@
     constexpr double Slack = 54;
     std::size_t spent = 0;
     for (const std::size_t part : {3U, 2U, 2U}) {
-        FleetMemory fleet;
+        FleetSizeEstimate fleet;
         fleet.note(7, at(0s));
         fleet.note(7, at(3s));
         const std::size_t counted = fleet.note(part, at(10s));
@@ -285,7 +285,7 @@
 
 BOOST_AUTO_TEST_CASE(fleetMemory_table_asStated)
 {
-    FleetMemory fleet({.guess = 32, .guessFor = 3s, .rememberedFor = 60s});
+    FleetSizeEstimate fleet({.guess = 32, .guessFor = 3s, .rememberedFor = 60s});
     BOOST_TEST(fleet.note(1, at(0s)) == 32U);
     BOOST_TEST(fleet.note(1, at(2s)) == 32U);
     BOOST_TEST(fleet.note(5, at(3s)) == 5U);
@@ -293,7 +293,7 @@
     BOOST_TEST(fleet.note(2, at(60s)) == 7U);
     BOOST_TEST(fleet.note(2, at(64s)) == 2U);
     BOOST_TEST(fleet.note(0, at(200s)) == 1U);
-    FleetMemory large;
+    FleetSizeEstimate large;
     BOOST_TEST(large.note(85, at(0s)) == 85U);
 }
 
@@ -381,30 +381,30 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_FIXTURE_TEST_SUITE(ServerBookTest, BookFixture)
+BOOST_FIXTURE_TEST_SUITE(ServerTableTest, BookFixture)
 
 BOOST_AUTO_TEST_CASE(choose_samePartsOnTwoBoxes_isTheSameServer)
 {
-    ServerBook other{BookPolicy{}};
+    ServerTable other{ServerPolicy{}};
     for (const char *id : {"s4", "s3", "s2", "s1"}) {
         other.put(server(id, true));
     }
     for (std::uint64_t part = 0; part < 50; ++part) {
         const Prompt prompt = promptOf({part, 99});
-        const auto there = other.choose(wishFor(&prompt), at(0s), random);
-        BOOST_TEST(chosen(wishFor(&prompt)) == there->server.id);
+        const auto there = other.choose(requirementsFor(&prompt), at(0s), random);
+        BOOST_TEST(chosen(requirementsFor(&prompt)) == there->server.id);
     }
 }
 
 BOOST_AUTO_TEST_CASE(choose_serverOverItsBound_isPassedOverAndItsPartsAreTaken)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     for (int request = 0; request < 20; ++request) {
         book.begin(first, &prompt, at(0s));
         book.noteHeard(first, at(0s));
     }
-    const auto choice = book.choose(wishFor(&prompt), at(0s), random);
+    const auto choice = book.choose(requirementsFor(&prompt), at(0s), random);
     BOOST_TEST(choice->server.id != first);
     BOOST_REQUIRE(choice->takeFrom.has_value());
     BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(first)->address));
@@ -416,7 +416,7 @@
     std::map<std::uint64_t, std::string> before;
     for (std::uint64_t part = 0; part < 200; ++part) {
         const Prompt prompt = promptOf({part, 99});
-        before[part] = chosen(wishFor(&prompt));
+        before[part] = chosen(requirementsFor(&prompt));
     }
     for (const char *id : {"new-1", "new-2", "new-3"}) {
         book.put(server(id, true), at(0s));
@@ -424,7 +424,7 @@
     int moved = 0;
     for (std::uint64_t part = 0; part < 200; ++part) {
         const Prompt prompt = promptOf({part, 99});
-        const auto choice = book.choose(wishFor(&prompt), at(2s), random);
+        const auto choice = book.choose(requirementsFor(&prompt), at(2s), random);
         if (choice->server.id == before[part]) {
             continue;
         }
@@ -443,17 +443,17 @@
         book.put(server("more-" + std::to_string(extra), true));
     }
     const Prompt prompt = promptOf({1, 2});
-    Wish wish = wishFor(&prompt);
+    ServerRequirements requirements = requirementsFor(&prompt);
     for (int ask = 0; ask < 3; ++ask) {
-        wish.full.push_back(chosen(wish));
+        requirements.full.push_back(chosen(requirements));
     }
-    wish.spread = true;
+    requirements.spread = true;
     std::map<std::string, int> counts;
     for (int time = 0; time < 170; ++time) {
-        ++counts[chosen(wish)];
+        ++counts[chosen(requirements)];
     }
     BOOST_TEST(counts.size() == 17U);
-    for (const std::string &full : wish.full) {
+    for (const std::string &full : requirements.full) {
         BOOST_TEST(!counts.contains(full));
     }
     for (const auto &[id, count] : counts) {
@@ -464,22 +464,22 @@
 BOOST_AUTO_TEST_CASE(choose_partsKnownToLieThere_takesThemFromNobody)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     book.begin(first, &prompt, at(0s));
     book.end(first);
-    BOOST_TEST(!book.choose(wishFor(&prompt), at(1s), random)->takeFrom.has_value());
+    BOOST_TEST(!book.choose(requirementsFor(&prompt), at(1s), random)->takeFrom.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(choose_leavingServer_getsNothingButStillGivesItsParts)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     book.begin(first, &prompt, at(0s));
     book.end(first);
     ListedServer leaving = *book.find(first);
     leaving.leaving = true;
     book.put(leaving);
-    const auto choice = book.choose(wishFor(&prompt), at(1s), random);
+    const auto choice = book.choose(requirementsFor(&prompt), at(1s), random);
     BOOST_TEST(choice->server.id != first);
     BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(leaving.address));
 }
@@ -487,38 +487,38 @@
 BOOST_AUTO_TEST_CASE(choose_unreachableServer_isLeftAndTriedAgainAfterItsPause)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     book.noteFailure(first, Failure::Unreachable, at(0s));
-    BOOST_TEST(chosen(wishFor(&prompt), 100ms) != first);
-    BOOST_TEST(chosen(wishFor(&prompt), 300ms) == first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 100ms) != first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 300ms) == first);
     // One request at a time until one succeeds.
     book.begin(first, &prompt, at(300ms));
-    BOOST_TEST(chosen(wishFor(&prompt), 301ms) != first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 301ms) != first);
     book.noteSuccess(first, at(310ms));
     book.end(first);
-    BOOST_TEST(chosen(wishFor(&prompt), 320ms) == first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 320ms) == first);
 }
 
 BOOST_AUTO_TEST_CASE(choose_serverFailsFarMoreThanTheOthers_isLeftForAWhile)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     for (int failure = 0; failure < 6; ++failure) {
         book.noteFailure(first, Failure::Error, at(0s));
     }
-    BOOST_TEST(chosen(wishFor(&prompt), 100ms) != first);
-    BOOST_TEST(chosen(wishFor(&prompt), 20s) == first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 100ms) != first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 20s) == first);
 }
 
 BOOST_AUTO_TEST_CASE(choose_silentWhileAnswersAreDue_isLeft)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string first = chosen(wishFor(&prompt));
+    const std::string first = chosen(requirementsFor(&prompt));
     book.begin(first, &prompt, at(0s));
-    BOOST_TEST(chosen(wishFor(&prompt), 500ms) == first);
-    BOOST_TEST(chosen(wishFor(&prompt), 1s) != first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 500ms) == first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 1s) != first);
     book.noteHeard(first, at(1s));
-    BOOST_TEST(chosen(wishFor(&prompt), 1100ms) == first);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 1100ms) == first);
 }
 
 BOOST_AUTO_TEST_CASE(choose_allDoubted_stillTakesOne)
@@ -526,25 +526,25 @@
     for (const std::string &id : book.ids()) {
         book.noteFailure(id, Failure::Unreachable, at(0s));
     }
-    BOOST_TEST(chosen(wishFor()) != "none");
+    BOOST_TEST(chosen(requirementsFor()) != "none");
 }
 
 BOOST_AUTO_TEST_CASE(choose_allTriedOrOfOtherServices_isNothing)
 {
-    Wish wish = wishFor();
-    wish.tried = book.ids();
-    BOOST_TEST(chosen(wish) == "none");
-    wish = wishFor();
-    wish.service = "other";
-    BOOST_TEST(chosen(wish) == "none");
+    ServerRequirements requirements = requirementsFor();
+    requirements.tried = book.ids();
+    BOOST_TEST(chosen(requirements) == "none");
+    requirements = requirementsFor();
+    requirements.service = "other";
+    BOOST_TEST(chosen(requirements) == "none");
 }
 
 BOOST_AUTO_TEST_CASE(choose_plainService_prefersTheOwnHallUntilItIsLoaded)
 {
-    ServerBook plain{BookPolicy{.hall = "a"}};
+    ServerTable plain{ServerPolicy{.hall = "a"}};
     plain.put(server("near", false, "a"));
     plain.put(server("far", false, "b"));
-    const auto pick = [&] { return plain.choose(wishFor(), at(0s), random)->server.id; };
+    const auto pick = [&] { return plain.choose(requirementsFor(), at(0s), random)->server.id; };
     BOOST_TEST(pick() == "near");
     for (int request = 0; request < 4; ++request) {
         plain.begin("near", nullptr, at(0s));
@@ -557,31 +557,31 @@
 BOOST_AUTO_TEST_CASE(choose_newcomerComesFirst_holderNearItGoesOnUntilItIsFull)
 {
     const Prompt prompt = promptOf({1, 2});
-    const std::string holder = chosen(wishFor(&prompt));
+    const std::string holder = chosen(requirementsFor(&prompt));
     book.begin(holder, &prompt, at(0s));
     book.end(holder);
     std::string newcomer = holder;
     for (int number = 0; newcomer == holder; ++number) {
         const std::string id = "new-" + std::to_string(number);
         book.put(server(id, true), at(1s));
-        newcomer = book.firstFor(wishFor(&prompt))->id;
+        newcomer = book.preferredServer(requirementsFor(&prompt))->id;
         if (newcomer == holder) {
             book.remove(id);
         }
     }
-    BOOST_TEST(chosen(wishFor(&prompt), 1s) == holder);
-    Wish full = wishFor(&prompt);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 1s) == holder);
+    ServerRequirements full = requirementsFor(&prompt);
     full.full = {holder};
     const auto moved = book.choose(full, at(1s), random);
     BOOST_TEST(moved->server.id == newcomer);
     BOOST_TEST((moved->takeFrom == book.find(holder)->address));
     // One that only other boxes know to hold them.
-    Wish told = wishFor(&prompt);
+    ServerRequirements told = requirementsFor(&prompt);
     told.holders = {static_cast<std::uint32_t>(kernel::hashOf(holder))};
     book.remove(holder);
     book.put(server(holder, true));
     BOOST_TEST(chosen(told, 2s) == holder);
-    BOOST_TEST(chosen(wishFor(&prompt), 2s) == newcomer);
+    BOOST_TEST(chosen(requirementsFor(&prompt), 2s) == newcomer);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -596,7 +596,7 @@
     const std::vector<std::string> halls = {"a", "b", "c"};
     const std::map<std::string, std::string> regions = {{"a", "north"}, {"b", "north"}, {"c", "s"}};
     for (int round = 0; round < 300; ++round) {
-        ServerBook book{BookPolicy{}};
+        ServerTable book{ServerPolicy{}};
         book.setHallRegions(regions);
         std::set<std::string> drained;
         for (const std::string &hall : halls) {
@@ -606,8 +606,8 @@
         }
         book.setDrainedHalls(drained);
         const Prompt prompt = promptOf({1, 2, 3});
-        Wish wish = wishFor(random() % 2 == 0 ? &prompt : nullptr);
-        wish.regions =
+        ServerRequirements requirements = requirementsFor(random() % 2 == 0 ? &prompt : nullptr);
+        requirements.regions =
                 random() % 2 == 0 ? std::vector<std::string>{"north"} : std::vector<std::string>();
         std::set<std::string> right;
         for (int index = 0; index < 9; ++index) {
@@ -616,15 +616,15 @@
             book.put(made);
             const bool barred = random() % 6 == 0;
             if (barred) {
-                wish.barred.push_back(made.id);
+                requirements.barred.push_back(made.id);
             }
-            const bool home = wish.regions.empty() || regions.at(made.hall) == "north";
+            const bool home = requirements.regions.empty() || regions.at(made.hall) == "north";
             if (!barred && home && !made.leaving && !drained.contains(made.hall)) {
                 right.insert(made.id);
             }
         }
-        wish.spread = random() % 2 == 0;
-        const auto choice = book.choose(wish, at(0s), random);
+        requirements.spread = random() % 2 == 0;
+        const auto choice = book.choose(requirements, at(0s), random);
         BOOST_TEST(choice.has_value() == !right.empty());
         if (choice) {
             BOOST_TEST(right.contains(choice->server.id));
@@ -634,7 +634,7 @@
 
 BOOST_AUTO_TEST_CASE(settleSource_holderStandsInADrainedHall_partsAreStillTakenFromIt)
 {
-    ServerBook book{BookPolicy{}};
+    ServerTable book{ServerPolicy{}};
     book.put(server("old", true, "a"));
     book.put(server("new", true, "b"));
     const Prompt prompt = promptOf({1, 2, 3});
@@ -642,7 +642,7 @@
     book.end("old");
     book.setDrainedHalls({"a"});
     std::mt19937_64 random(1);
-    const auto choice = book.choose(wishFor(&prompt), at(1s), random);
+    const auto choice = book.choose(requirementsFor(&prompt), at(1s), random);
     BOOST_REQUIRE(choice.has_value());
     BOOST_TEST(choice->server.id == "new");
     BOOST_TEST((choice->takeFrom == book.find("old")->address));
@@ -678,12 +678,12 @@
     /** Whether any of many choices at \a when falls on hall "b". */
     bool chooses(kernel::Duration when)
     {
-        Wish wish;
-        wish.service = "pool";
-        wish.tried = {"a1", "a2"};
+        ServerRequirements requirements;
+        requirements.service = "pool";
+        requirements.tried = {"a1", "a2"};
         bool found = false;
         for (int time = 0; time < 200; ++time) {
-            const auto choice = book.choose(wish, at(when), random);
+            const auto choice = book.choose(requirements, at(when), random);
             found = found || choice->server.hall == "b";
         }
         return found;
@@ -695,8 +695,8 @@
         book.noteFailure(id, Failure::NoResponse, at(when));
     }
 
-    BookPolicy policy{.hall = "x"};
-    ServerBook book{policy};
+    ServerPolicy policy{.hall = "x"};
+    ServerTable book{policy};
     std::mt19937_64 random{3};
 };
 
@@ -780,12 +780,12 @@
 {
     quietWhileConnecting("b1", 100ms);
     quietWhileConnecting("b2", 120ms);
-    Wish wish;
-    wish.service = "pool";
-    wish.tried = {"a1", "a2", "a3"};
-    BOOST_TEST(book.choose(wish, at(2s), random)->trial);
-    wish.tried = {"b1", "b2", "b3"};
-    BOOST_TEST(!book.choose(wish, at(2s), random)->trial);
+    ServerRequirements requirements;
+    requirements.service = "pool";
+    requirements.tried = {"a1", "a2", "a3"};
+    BOOST_TEST(book.choose(requirements, at(2s), random)->trial);
+    requirements.tried = {"b1", "b2", "b3"};
+    BOOST_TEST(!book.choose(requirements, at(2s), random)->trial);
 }
 
 BOOST_FIXTURE_TEST_CASE(allHallsSayNothing_someServerIsTriedAllTheSame, CutHall)
@@ -793,9 +793,9 @@
     for (const char *id : {"a1", "a2", "a3", "b1", "b2", "b3"}) {
         quietWhileConnecting(id, 100ms);
     }
-    Wish wish;
-    wish.service = "pool";
-    BOOST_TEST(book.choose(wish, at(110ms), random).has_value());
+    ServerRequirements requirements;
+    requirements.service = "pool";
+    BOOST_TEST(book.choose(requirements, at(110ms), random).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/HolderIndexTest.cpp
+++ b/test/correctness/HolderIndexTest.cpp
@@ -1,7 +1,7 @@
 // Where shared prompt parts lie, as an owner remembers it, and what a box makes of an owner's word.
 
 #include "forward/HolderIndex.h"
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 #include "kernel/decisions/Name.h"
 
 #include <boost/test/unit_test.hpp>
@@ -33,9 +33,9 @@
         }
         prompt.model = "m";
         prompt.parts = {{1, 500}, {2, 10000}, {3, 900}};
-        wish.service = "pool";
-        wish.prompt = &prompt;
-        wish.takeParts = true;
+        requirements.service = "pool";
+        requirements.prompt = &prompt;
+        requirements.takeParts = true;
     }
 
     static std::uint32_t shortOf(const std::string &id)
@@ -43,9 +43,9 @@
         return static_cast<std::uint32_t>(kernel::hashOf(id));
     }
 
-    ServerBook book{BookPolicy{}};
+    ServerTable book{ServerPolicy{}};
     Prompt prompt;
-    Wish wish;
+    ServerRequirements requirements;
     std::mt19937_64 random{1};
 };
 
@@ -80,7 +80,7 @@
 // know it had them taken from the first, which lacked them.
 BOOST_AUTO_TEST_CASE(choose_ownerNamesAHolder_partsAreTakenFromIt)
 {
-    const auto guess = book.choose(wish, at(0s), random);
+    const auto guess = book.choose(requirements, at(0s), random);
     std::string holder;
     for (const std::string &id : book.ids()) {
         const auto address = book.find(id)->address;
@@ -88,8 +88,8 @@
             holder = id;
         }
     }
-    wish.holders = {shortOf(holder)};
-    const auto choice = book.choose(wish, at(0s), random);
+    requirements.holders = {shortOf(holder)};
+    const auto choice = book.choose(requirements, at(0s), random);
     BOOST_TEST(choice->server.id == guess->server.id);
     BOOST_REQUIRE(choice->takeFrom.has_value());
     BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(holder)->address));
@@ -97,19 +97,19 @@
 
 BOOST_AUTO_TEST_CASE(choose_chosenServerIsNamedAsHolder_takesFromNobody)
 {
-    const auto guess = book.choose(wish, at(0s), random);
-    wish.holders = {shortOf("s1"), shortOf(guess->server.id)};
-    const auto choice = book.choose(wish, at(0s), random);
+    const auto guess = book.choose(requirements, at(0s), random);
+    requirements.holders = {shortOf("s1"), shortOf(guess->server.id)};
+    const auto choice = book.choose(requirements, at(0s), random);
     BOOST_TEST(!choice->takeFrom.has_value());
     BOOST_TEST(choice->held == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(settleSource_holdersHeardAfterTheChoice_areUsed)
 {
-    auto choice = book.choose(wish, at(0s), random);
+    auto choice = book.choose(requirements, at(0s), random);
     const std::string other = choice->server.id == "s1" ? "s2" : "s1";
-    wish.holders = {shortOf(other)};
-    book.settleSource(wish, *choice, at(0s));
+    requirements.holders = {shortOf(other)};
+    book.updateSource(requirements, *choice, at(0s));
     BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(other)->address));
 }
 
@@ -119,7 +119,7 @@
 // boxes, 302 of 564 on a day with trouble. The box that remembers for the first part tells.
 BOOST_AUTO_TEST_CASE(settleSource_newcomerComesFirst_boxThatRemembersNamesTheHolder)
 {
-    const auto before = book.firstFor(wish);
+    const auto before = book.preferredServer(requirements);
     std::string holder;
     for (const std::string &id : book.ids()) {
         holder = id != before->id ? id : holder;
@@ -130,19 +130,19 @@
         server.id = "s" + std::to_string(number);
         server.address = {"10.0.0.1", number};
         book.put(server, at(0s));
-        const auto first = book.firstFor(wish);
+        const auto first = book.preferredServer(requirements);
         if (first->id != server.id) {
             continue;
         }
         ++newcomersFirst;
         Choice choice{*first, std::nullopt, 0, false};
-        wish.holders.clear();
-        book.settleSource(wish, choice, at(1s));
-        BOOST_TEST(!book.sourceKnown(wish, choice, at(1s)));
+        requirements.holders.clear();
+        book.updateSource(requirements, choice, at(1s));
+        BOOST_TEST(!book.sourceKnown(requirements, choice, at(1s)));
         BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(before->address));
-        wish.holders = {shortOf(holder)};
-        book.settleSource(wish, choice, at(1s));
-        BOOST_TEST(book.sourceKnown(wish, choice, at(1s)));
+        requirements.holders = {shortOf(holder)};
+        book.updateSource(requirements, choice, at(1s));
+        BOOST_TEST(book.sourceKnown(requirements, choice, at(1s)));
         BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(holder)->address));
     }
     BOOST_TEST(newcomersFirst > 0);
@@ -152,40 +152,40 @@
 // engine of its own, which reads a beginning that dozens of others hold.
 BOOST_AUTO_TEST_CASE(settleSource_subjectIsNew_beginningIsTakenFromWhoHoldsIt)
 {
-    const auto chosen = book.firstFor(wish);
+    const auto chosen = book.preferredServer(requirements);
     const std::string beginner = chosen->id == "s1" ? "s2" : "s1";
     Choice choice{*chosen, std::nullopt, 0, false};
-    wish.beginners = {shortOf(chosen->id), shortOf(beginner)};
-    book.settleSource(wish, choice, at(0s));
+    requirements.firstPartHolders = {shortOf(chosen->id), shortOf(beginner)};
+    book.updateSource(requirements, choice, at(0s));
     BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(beginner)->address));
     // Who holds all of it goes first.
     const std::string holder = chosen->id == "s3" ? "s4" : "s3";
-    wish.holders = {shortOf(holder)};
-    book.settleSource(wish, choice, at(0s));
+    requirements.holders = {shortOf(holder)};
+    book.updateSource(requirements, choice, at(0s));
     BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(holder)->address));
 }
 
 BOOST_AUTO_TEST_CASE(firstFor_loadsAndDoubts_changeNothing)
 {
-    const auto first = book.firstFor(wish);
+    const auto first = book.preferredServer(requirements);
     for (int request = 0; request < 30; ++request) {
         book.begin(first->id, &prompt, at(0s));
     }
     book.noteFailure(first->id, Failure::Unreachable, at(0s));
-    BOOST_TEST(book.firstFor(wish)->id == first->id);
-    BOOST_TEST(book.choose(wish, at(0s), random)->server.id != first->id);
+    BOOST_TEST(book.preferredServer(requirements)->id == first->id);
+    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id != first->id);
 }
 
 BOOST_AUTO_TEST_CASE(choose_requestMayEndItsServer_goesWhereTheLeastIsLost)
 {
-    const auto usual = book.choose(wish, at(0s), random);
+    const auto usual = book.choose(requirements, at(0s), random);
     for (std::uint16_t number = 1; number <= 6; ++number) {
         const std::string id = "s" + std::to_string(number);
         book.setOthers(id, id == "s4" ? 0 : 1, at(0s));
     }
-    BOOST_TEST(book.choose(wish, at(0s), random)->server.id == usual->server.id);
-    wish.alone = true;
-    BOOST_TEST(book.choose(wish, at(0s), random)->server.id == "s4");
+    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id == usual->server.id);
+    requirements.alone = true;
+    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id == "s4");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/PlaceLedgerTest.cpp
+++ b/test/correctness/PlaceLedgerTest.cpp
@@ -126,7 +126,7 @@
     std::mt19937_64 random(11);
     std::vector<PlaceLedger> owners(Engines, PlaceLedger(PlacePolicy{}));
     std::vector<std::uint32_t> boxLoads(Boxes);
-    std::vector<RecentCount> boxAsks(Boxes, RecentCount(PlacePolicy{}.wordAge));
+    std::vector<RecentCount> boxAsks(Boxes, RecentCount(PlacePolicy{}.reportMaxAge));
     // Nine in ten callers are at a fifth of the boxes.
     std::vector<double> shares(Boxes, 0.1 / 68);
     std::fill_n(shares.begin(), 17, 0.9 / 17);
--- a/test/correctness/RestingServersTest.cpp
+++ b/test/correctness/RestingServersTest.cpp
@@ -1,6 +1,6 @@
 // The choice of a server while some rest, against a plain rule: none of those that rest.
 
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -32,7 +32,7 @@
 {
     explicit Servers(std::size_t count)
         : book([&] {
-            BookPolicy policy;
+            ServerPolicy policy;
             policy.hall = "hall-0";
             return policy;
         }())
@@ -40,13 +40,16 @@
         for (std::size_t number = 0; number < count; ++number) {
             book.put(serverOf(number));
         }
-        wish.service = "pool";
+        requirements.service = "pool";
     }
 
-    std::optional<Choice> choose(kernel::Instant now) { return book.choose(wish, now, random); }
+    std::optional<Choice> choose(kernel::Instant now)
+    {
+        return book.choose(requirements, now, random);
+    }
 
-    ServerBook book;
-    Wish wish;
+    ServerTable book;
+    ServerRequirements requirements;
     std::mt19937_64 random{1};
 };
 
@@ -66,7 +69,7 @@
             const std::string id = "i-" + std::to_string(random() % servers.book.ids().size());
             if (random() % 3 == 0) {
                 const auto asked = std::chrono::milliseconds(random() % 5000);
-                servers.book.noteRest(*servers.book.find(id), asked, now);
+                servers.book.noteBackoff(*servers.book.find(id), asked, now);
                 rests[id] = std::max(rests[id], now + asked);
             }
             if (random() % 3 == 0) {
@@ -80,15 +83,15 @@
             }
             servers.book.noteAwake(now);
             const Prompt prompt = promptOf(random() % 5);
-            servers.wish.prompt = random() % 2 == 0 ? &prompt : nullptr;
-            servers.wish.spread = random() % 4 == 0;
-            const bool allRest =
+            servers.requirements.prompt = random() % 2 == 0 ? &prompt : nullptr;
+            servers.requirements.spread = random() % 4 == 0;
+            const bool allBackingOff =
                     static_cast<std::size_t>(std::ranges::count_if(
                             rests, [now](const auto &rest) { return rest.second > now; }))
                     == servers.book.ids().size();
             const auto choice = servers.choose(now);
-            BOOST_REQUIRE(choice.has_value() != allRest);
-            BOOST_REQUIRE(servers.book.allRest(servers.wish, now) == allRest);
+            BOOST_REQUIRE(choice.has_value() != allBackingOff);
+            BOOST_REQUIRE(servers.book.allBackingOff(servers.requirements, now) == allBackingOff);
             if (choice) {
                 BOOST_REQUIRE((rests[choice->server.id] <= now));
                 BOOST_REQUIRE(servers.book.mayBeSent(choice->server, now));
@@ -102,7 +105,7 @@
     Servers servers(1);
     const auto choice = servers.choose(Start);
     BOOST_REQUIRE(choice.has_value());
-    servers.book.noteRest(serverOf(0), 3s, Start);
+    servers.book.noteBackoff(serverOf(0), 3s, Start);
     BOOST_TEST(!servers.book.mayBeSent(choice->server, Start));
     BOOST_TEST(!servers.book.mayBeSent(choice->server, Start + 2999ms));
     BOOST_TEST(servers.book.mayBeSent(choice->server, Start + 3s));
@@ -112,10 +115,10 @@
 {
     Servers servers(0);
     ListedServer server = serverOf(0);
-    server.born = 1;
+    server.startNumber = 1;
     servers.book.put(server);
-    servers.book.noteRest(server, 30s, Start);
-    server.born = 2;
+    servers.book.noteBackoff(server, 30s, Start);
+    server.startNumber = 2;
     servers.book.put(server);
     BOOST_TEST(servers.book.mayBeSent(server, Start));
 }
@@ -124,11 +127,11 @@
 {
     Servers servers(0);
     ListedServer server = serverOf(0);
-    server.born = 2;
+    server.startNumber = 2;
     servers.book.put(server);
     ListedServer earlier = server;
-    earlier.born = 1;
-    servers.book.noteRest(earlier, 30s, Start);
+    earlier.startNumber = 1;
+    servers.book.noteBackoff(earlier, 30s, Start);
     BOOST_TEST(servers.book.noteLeaving(earlier, Start));
     BOOST_TEST(servers.book.mayBeSent(server, Start));
 }
@@ -157,9 +160,9 @@
 {
     Servers servers(1);
     servers.book.noteAwake(Start);
-    servers.book.noteRest(serverOf(0), 3s, Start);
+    servers.book.noteBackoff(serverOf(0), 3s, Start);
     servers.book.noteAwake(Start + 10s);
-    BOOST_TEST((servers.book.restLeft("i-0", Start + 10s) == kernel::Duration(0)));
+    BOOST_TEST((servers.book.backoffLeft("i-0", Start + 10s) == kernel::Duration(0)));
 }
 
 BOOST_AUTO_TEST_CASE(choose_serversAskForRest_noneIsSentMoreThanItHasPlaces)
@@ -173,9 +176,9 @@
     fill("i-0", 8);
     fill("i-1", 8);
     BOOST_TEST(servers.choose(Start).has_value());
-    servers.book.noteRest(serverOf(0), 300ms, Start);
+    servers.book.noteBackoff(serverOf(0), 300ms, Start);
     BOOST_TEST(!servers.choose(Start).has_value());
-    BOOST_TEST(!servers.book.allRest(servers.wish, Start));
+    BOOST_TEST(!servers.book.allBackingOff(servers.requirements, Start));
     servers.book.end("i-1");
     BOOST_TEST(servers.choose(Start)->server.id == "i-1");
     fill("i-1", 1);
--- a/test/correctness/ServerChoiceTest.cpp
+++ b/test/correctness/ServerChoiceTest.cpp
@@ -1,7 +1,7 @@
 // The choice among many backend servers against the rule written plainly, which walks over all of
 // them: seeded histories of listings, requests, failures and silences.
 
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 #include "kernel/decisions/Name.h"
 #include "membership/Rendezvous.h"
 
@@ -30,7 +30,7 @@
     double others = 0;
     kernel::Instant othersAt;
     std::uint32_t failuresInARow = 0;
-    kernel::Instant doubtedUntil;
+    kernel::Instant suspectedUntil;
     kernel::Instant fullUntil;
     double errors = 0;
     kernel::Instant errorsAt;
@@ -49,7 +49,7 @@
 class PlainBook
 {
 public:
-    explicit PlainBook(BookPolicy policy)
+    explicit PlainBook(ServerPolicy policy)
         : policy_(std::move(policy))
     {
     }
@@ -71,9 +71,9 @@
         return server.own > 0 && now - since > most;
     }
 
-    bool doubted(const PlainServer &server, kernel::Instant now) const
+    bool isSuspected(const PlainServer &server, kernel::Instant now) const
     {
-        return now < server.doubtedUntil || (server.failuresInARow > 0 && server.own > 0)
+        return now < server.suspectedUntil || (server.failuresInARow > 0 && server.own > 0)
                || silent(server, now);
     }
 
@@ -97,13 +97,15 @@
                && hallDoubted(hall, now);
     }
 
-    std::vector<const PlainServer *> usable(const Wish &wish, kernel::Instant now) const
+    std::vector<const PlainServer *> usable(const ServerRequirements &requirements,
+                                            kernel::Instant now) const
     {
         std::vector<const PlainServer *> listed;
         double errorSum = 0;
         for (const auto &[id, server] : servers) {
-            const bool tried = std::ranges::find(wish.tried, id) != wish.tried.end();
-            if (server.listed.service == wish.service && !server.listed.leaving && !tried
+            const bool tried =
+                    std::ranges::find(requirements.tried, id) != requirements.tried.end();
+            if (server.listed.service == requirements.service && !server.listed.leaving && !tried
                 && !drained.contains(server.listed.hall)) {
                 listed.push_back(&server);
                 errorSum += errors(server, now);
@@ -113,7 +115,7 @@
         std::vector<const PlainServer *> good;
         std::vector<const PlainServer *> fair;
         for (const PlainServer *server : listed) {
-            if (doubted(*server, now) || hallClosed(server->listed.hall, now)) {
+            if (isSuspected(*server, now) || hallClosed(server->listed.hall, now)) {
                 continue;
             }
             fair.push_back(server);
@@ -131,9 +133,9 @@
     }
 
     /** The id of the server for a prompt; empty if there is none. */
-    std::string forPrompt(const Wish &wish, kernel::Instant now) const
+    std::string forPrompt(const ServerRequirements &requirements, kernel::Instant now) const
     {
-        const auto entries = usable(wish, now);
+        const auto entries = usable(requirements, now);
         double sum = 0;
         std::vector<std::uint64_t> hashes;
         for (const PlainServer *server : entries) {
@@ -141,7 +143,7 @@
             hashes.push_back(server->listed.hash());
         }
         const double bound = 2 * sum / static_cast<double>(entries.size()) * 0.85 + 3;
-        const std::uint64_t key = sharedPartsKey(*wish.prompt);
+        const std::uint64_t key = sharedPartsKey(*requirements.prompt);
         for (const std::size_t position :
              membership::rendezvousOrder(key, hashes, entries.size())) {
             if (load(*entries[position], now) <= bound) {
@@ -162,15 +164,16 @@
         server.errorsAt = now;
         if (failure != Failure::Error && failure != Failure::Lost) {
             const std::uint32_t doublings = std::min(server.failuresInARow++, 8U);
-            server.doubtedUntil =
-                    now + std::min<kernel::Duration>(policy_.firstDoubt * (1U << doublings), 4s);
+            server.suspectedUntil =
+                    now
+                    + std::min<kernel::Duration>(policy_.firstSuspicion * (1U << doublings), 4s);
         }
     }
 
     void noteSuccess(PlainServer &server, kernel::Instant now)
     {
         server.failuresInARow = 0;
-        server.doubtedUntil = now;
+        server.suspectedUntil = now;
         server.errors = errors(server, now) * 0.88;
         server.errorsAt = now;
     }
@@ -186,7 +189,7 @@
     std::set<std::string> drained;
 
 private:
-    BookPolicy policy_;
+    ServerPolicy policy_;
     std::map<std::string, kernel::Instant> heard_;
 };
 
@@ -292,31 +295,31 @@
         Prompt prompt;
         prompt.model = "m";
         prompt.parts = {{random_() % 50, 100}, {7, 10}};
-        Wish wish;
-        wish.service = "pool";
-        wish.prompt = &prompt;
+        ServerRequirements requirements;
+        requirements.service = "pool";
+        requirements.prompt = &prompt;
         if (random_() % 3 == 0) {
-            wish.tried = {any().listed.id, any().listed.id};
+            requirements.tried = {any().listed.id, any().listed.id};
         }
-        const auto engines = plain_.usable(wish, now_);
-        const auto engine = book_.choose(wish, now_, random_);
+        const auto engines = plain_.usable(requirements, now_);
+        const auto engine = book_.choose(requirements, now_, random_);
         BOOST_REQUIRE(engine.has_value() == !engines.empty());
-        if (engine && engine->server.id != plain_.forPrompt(wish, now_)) {
+        if (engine && engine->server.id != plain_.forPrompt(requirements, now_)) {
             // All are over the bound: the least loaded one.
-            BOOST_REQUIRE(plain_.forPrompt(wish, now_).empty());
+            BOOST_REQUIRE(plain_.forPrompt(requirements, now_).empty());
         }
-        wish.service = "plain";
-        wish.prompt = nullptr;
-        comparePlain(wish);
+        requirements.service = "plain";
+        requirements.prompt = nullptr;
+        comparePlain(requirements);
         BOOST_REQUIRE(book_.ownLoad("pool") + book_.ownLoad("plain") == ownLoad());
         const PlainServer &one = any();
-        BOOST_REQUIRE(book_.doubted(one.listed.id, now_) == plain_.doubted(one, now_));
+        BOOST_REQUIRE(book_.isSuspected(one.listed.id, now_) == plain_.isSuspected(one, now_));
     }
 
-    void comparePlain(const Wish &wish)
+    void comparePlain(const ServerRequirements &requirements)
     {
-        const auto usable = plain_.usable(wish, now_);
-        const auto choice = book_.choose(wish, now_, random_);
+        const auto usable = plain_.usable(requirements, now_);
+        const auto choice = book_.choose(requirements, now_, random_);
         BOOST_REQUIRE(choice.has_value() == !usable.empty());
         if (!choice) {
             return;
@@ -339,8 +342,8 @@
 
     std::mt19937_64 random_;
     kernel::Instant now_ = at(0s);
-    BookPolicy policy_{.hall = "a"};
-    ServerBook book_{policy_};
+    ServerPolicy policy_{.hall = "a"};
+    ServerTable book_{policy_};
     PlainBook plain_{policy_};
 };
 
@@ -361,7 +364,7 @@
 
     std::vector<ServerRecord> records;
     std::vector<std::uint64_t> hashes;
-    ServerTable table;
+    RendezvousTable table;
 };
 
 } // namespace
--- a/test/performance/Bench.cpp
+++ b/test/performance/Bench.cpp
@@ -2,8 +2,8 @@
 
 #include "config/Effective.h"
 #include "config/TreeJson.h"
-#include "forward/CrashBook.h"
-#include "forward/ServerBook.h"
+#include "forward/CrashTable.h"
+#include "forward/ServerTable.h"
 #include "membership/HeartbeatTable.h"
 #include "membership/Rendezvous.h"
 #include "peer/Envelope.h"
@@ -192,13 +192,13 @@
         report.row("identity of a request, " + std::to_string(kilobytes) + " kB",
                    {{"kB", static_cast<double>(kilobytes)}, {"us", whole / 1000}});
     }
-    forward::CrashBook book;
+    forward::CrashTable book;
     const std::size_t before = heapBytes();
     constexpr std::uint64_t Records = 1000;
     for (std::uint64_t number = 1; number <= Records; ++number) {
         const std::uint64_t hash = number * 0x9e3779b97f4a7c15ULL;
-        book.noteEnd({hash, hash, hash}, hash, false, kernel::Instant());
-        book.noteEnd({hash, hash, hash}, hash + 1, false, kernel::Instant());
+        book.noteCrash({hash, hash, hash}, hash, false, kernel::Instant());
+        book.noteCrash({hash, hash, hash}, hash + 1, false, kernel::Instant());
     }
     report.row(
             "a request under which two servers ended",
@@ -314,7 +314,7 @@
     report.section("choice of a backend server, and what each takes");
     for (const std::size_t servers : {100U, 1000U, 10000U, 30000U}) {
         const std::size_t before = heapBytes();
-        forward::ServerBook book{forward::BookPolicy{.hall = "hall-0"}};
+        forward::ServerTable book{forward::ServerPolicy{.hall = "hall-0"}};
         for (std::size_t number = 0; number < servers; ++number) {
             book.put(serverNumber(number));
         }
@@ -326,7 +326,7 @@
         std::mt19937_64 random(1);
         forward::Prompt prompt;
         prompt.model = "m";
-        forward::Wish wish;
+        forward::ServerRequirements wish;
         wish.service = "engines";
         wish.prompt = &prompt;
         wish.takeParts = true;
@@ -343,7 +343,7 @@
                 nanoseconds([&](std::uint64_t) { book.choose(wish, now, random); }, calls);
         // Afterwards, so that the figures before stay those of a fleet in which none rests.
         for (std::size_t number = 0; number < servers; number += 3) {
-            book.noteRest(serverNumber(number), 30s, now);
+            book.noteBackoff(serverNumber(number), 30s, now);
         }
         wish.service = "engines";
         wish.prompt = &prompt;
--- a/test/performance/RestBench.cpp
+++ b/test/performance/RestBench.cpp
@@ -1,6 +1,6 @@
 #include "performance/RestBench.h"
 
-#include "forward/ServerBook.h"
+#include "forward/ServerTable.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,10 +15,10 @@
 
 namespace {
 
-using forward::BookPolicy;
 using forward::Failure;
 using forward::ListedServer;
-using forward::ServerBook;
+using forward::ServerPolicy;
+using forward::ServerTable;
 using kernel::Duration;
 using kernel::Instant;
 
@@ -38,10 +38,10 @@
 {
     std::string name;
     bool heeds = true;
-    Duration heldToPlaces{}; ///< See BookPolicy.
-    Duration told{};         ///< Retry-After; zero: callers don't come back.
-    bool tellsRest = false;  ///< Where all rest, Retry-After is the end of the first rest.
-    Duration toldSpread{};   ///< Added to that by chance, up to this.
+    Duration limitedToSlots{}; ///< See ServerPolicy.
+    Duration told{};           ///< Retry-After; zero: callers don't come back.
+    bool tellsRest = false;    ///< Where all rest, Retry-After is the end of the first rest.
+    Duration toldSpread{};     ///< Added to that by chance, up to this.
 };
 
 const std::vector<Way> &ways()
@@ -83,11 +83,11 @@
         , random_(what.seed)
         , servers_(std::max<std::size_t>(5, what.boxes / 3))
     {
-        BookPolicy policy;
+        ServerPolicy policy;
         policy.hall = "hall";
-        policy.heldToPlaces = way.heldToPlaces;
+        policy.limitedToSlots = way.limitedToSlots;
         for (std::size_t box = 0; box < what.boxes; ++box) {
-            boxes_.push_back(std::make_unique<ServerBook>(policy));
+            boxes_.push_back(std::make_unique<ServerTable>(policy));
             for (std::size_t index = 0; index < servers_.size(); ++index) {
                 boxes_.back()->put(listed(index));
             }
@@ -130,7 +130,7 @@
     struct Request
     {
         std::size_t box = 0;
-        forward::Wish wish;
+        forward::ServerRequirements wish;
         int sends = 0;
         bool cameBack = false;
     };
@@ -193,14 +193,14 @@
 
     void send(const std::shared_ptr<Request> &request)
     {
-        ServerBook &book = *boxes_[request->box];
+        ServerTable &book = *boxes_[request->box];
         const auto choice = book.choose(request->wish, now_, random_);
         if (!choice) {
             comeBack(request);
             return;
         }
         ++request->sends;
-        intoRest_ += book.restLeft(choice->server.id, now_) > 0s ? 1 : 0;
+        intoRest_ += book.backoffLeft(choice->server.id, now_) > 0s ? 1 : 0;
         book.begin(choice->server.id, nullptr, now_);
         after(Hop, [this, request, server = choice->server] { reach(request, server); });
     }
@@ -219,14 +219,14 @@
         after(told, [this, request] { send(request); });
     }
 
-    Duration toldBy(const ServerBook &book, const forward::Wish &wish)
+    Duration toldBy(const ServerTable &book, const forward::ServerRequirements &wish)
     {
-        if (!way_.tellsRest || !book.allRest(wish, now_)) {
+        if (!way_.tellsRest || !book.allBackingOff(wish, now_)) {
             return way_.told;
         }
         Duration first = Duration::max();
         for (std::size_t index = 0; index < servers_.size(); ++index) {
-            first = std::min(first, book.restLeft(listed(index).id, now_));
+            first = std::min(first, book.backoffLeft(listed(index).id, now_));
         }
         std::uniform_real_distribution<double> part(0, kernel::seconds(way_.toldSpread));
         return first + durationOf(part(random_));
@@ -280,7 +280,7 @@
         }
         const forward::ReportedLoad load{server.running, server.held - server.running, Slots, 100};
         after(Hop, [this, request, listedServer, load] {
-            ServerBook &book = *boxes_[request->box];
+            ServerTable &book = *boxes_[request->box];
             book.end(listedServer.id);
             book.noteHeard(listedServer.id, now_);
             book.noteLoad(listedServer.id, load, now_);
@@ -290,13 +290,13 @@
 
     void takeRefusal(const std::shared_ptr<Request> &request, const ListedServer &server)
     {
-        ServerBook &book = *boxes_[request->box];
+        ServerTable &book = *boxes_[request->box];
         book.end(server.id);
         book.noteHeard(server.id, now_);
         book.noteLoad(server.id, {Slots, Queue, Slots, 100}, now_);
         book.noteFailure(server.id, Failure::Full, now_);
         if (way_.heeds) {
-            book.noteRest(server, rest_, now_);
+            book.noteBackoff(server, rest_, now_);
         }
         request->wish.tried.push_back(server.id);
         if (request->sends < Sends) {
@@ -310,7 +310,7 @@
     Way way_;
     std::mt19937_64 random_;
     std::vector<Server> servers_;
-    std::vector<std::unique_ptr<ServerBook>> boxes_;
+    std::vector<std::unique_ptr<ServerTable>> boxes_;
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0;
     Instant now_{1000s};
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -48,12 +48,12 @@
 {
     const auto &dialect = platform::adapter().dialect;
     const auto asking = http::Fields().with("Retry-After", "3");
-    BOOST_TEST((dialect.readHead(503, asking).restFor == kernel::Duration(3s)));
-    BOOST_TEST((!dialect.readHead(429, asking).restFor));
-    BOOST_TEST((!dialect.readHead(200, asking).restFor));
+    BOOST_TEST((dialect.readHead(503, asking).backoffFor == kernel::Duration(3s)));
+    BOOST_TEST((!dialect.readHead(429, asking).backoffFor));
+    BOOST_TEST((!dialect.readHead(200, asking).backoffFor));
     const auto unreadable = dialect.readHead(503, http::Fields().with("Retry-After", "soon"));
-    BOOST_TEST(!unreadable.restFor.has_value());
-    BOOST_TEST(unreadable.restUnreadable);
+    BOOST_TEST(!unreadable.backoffFor.has_value());
+    BOOST_TEST(unreadable.backoffUnreadable);
 }
 
 BOOST_AUTO_TEST_CASE(readHead_leaving_isReadFromEveryAnswer)
--- a/test/platform/GatewayStallTest.cpp
+++ b/test/platform/GatewayStallTest.cpp
@@ -98,7 +98,7 @@
     void passAwake(kernel::Duration time)
     {
         constexpr kernel::Duration Step = 100ms;
-        forward::ServerBook &book = context().kernel.find<gateway::World>("world").servers();
+        forward::ServerTable &book = context().kernel.find<gateway::World>("world").servers();
         book.noteAwake(context().now());
         for (kernel::Duration passed = 0ms; passed < time; passed += Step) {
             stepForward(Step);
--- a/test/platform/ServerStateTest.cpp
+++ b/test/platform/ServerStateTest.cpp
@@ -263,7 +263,10 @@
         store().put("servers", runner(0).name(), made);
     }
 
-    std::optional<std::uint64_t> born() { return world().servers().find(runner(0).name())->born; }
+    std::optional<std::uint64_t> born()
+    {
+        return world().servers().find(runner(0).name())->startNumber;
+    }
 };
 
 } // namespace
--- a/test/platform/StandstillTest.cpp
+++ b/test/platform/StandstillTest.cpp
@@ -28,7 +28,10 @@
         }
     }
 
-    forward::ServerBook &book() { return context().kernel.find<gateway::World>("world").servers(); }
+    forward::ServerTable &book()
+    {
+        return context().kernel.find<gateway::World>("world").servers();
+    }
     kernel::Instant now() { return context().now(); }
 
     bool anySilent()
@@ -54,7 +57,7 @@
 BOOST_AUTO_TEST_CASE(choose_rightAfterOwnStandstill_hallIsNotDoubted)
 {
     stepForward(5s);
-    forward::Wish wish;
+    forward::ServerRequirements wish;
     wish.service = "pool";
     const auto choice = book().choose(wish, now(), context().random);
     BOOST_REQUIRE(choice.has_value());
