--- a/src/forward/Backend.h
+++ b/src/forward/Backend.h
@@ -12,31 +12,32 @@
 
 namespace limereel::forward {
 
-/** One life of a backend server. */
+/** One incarnation of a backend server. */
 struct ListedServer
 {
-    std::string id; ///< Of this incarnation; where \c born is told, of several in turn.
+    std::string id; ///< Identifies the incarnation; with \c born, it is shared by successive ones.
     std::string service;
     kernel::Endpoint address;
     std::string hall;
     std::uint32_t slots = 1;
-    bool engine = false; ///< A model engine, not a plain service.
+    bool engine = false; ///< Whether it is a model engine and not a plain service.
     bool leaving = false;
-    std::optional<std::uint64_t>
-            startNumber; ///< Grows with each start of the same id; nothing: untold.
+    /** Increases with each start of the same id; nothing: unknown. */
+    std::optional<std::uint64_t> startNumber;
 
-    /** Names this life of the server to other boxes: what they knew of an earlier one of the same
-     * id doesn't hold for it. */
+    /** Identifies this incarnation to other boxes: what they know of an earlier one with the same
+     * id doesn't apply to it. */
     std::uint64_t hash() const;
 
     auto operator<=>(const ListedServer &) const = default;
 };
 
-/** What the entry of a backend server says. */
+/** The contents of a backend server's entry in the platform's list. */
 struct ServerEntry
 {
     ListedServer server;
-    kernel::Duration coldFor{}; ///< For how long it is cold, as of the entry; zero: not, or untold.
+    /** How long it is still cold; zero: it is warm, or the entry doesn't say. */
+    kernel::Duration coldFor{};
 
     auto operator<=>(const ServerEntry &) const = default;
 };
--- a/src/forward/BackoffTable.cpp
+++ b/src/forward/BackoffTable.cpp
@@ -4,16 +4,17 @@
 
 namespace limereel::forward {
 
-kernel::Instant BackoffTable::note(std::uint64_t life, kernel::Duration asked, kernel::Instant now)
+kernel::Instant BackoffTable::note(std::uint64_t incarnationKey, kernel::Duration asked,
+                                   kernel::Instant now)
 {
-    kernel::Instant &until = until_[life];
+    kernel::Instant &until = until_[incarnationKey];
     until = std::max(until, now + std::min(asked, longest_));
     return until;
 }
 
-kernel::Instant BackoffTable::until(std::uint64_t life) const
+kernel::Instant BackoffTable::until(std::uint64_t incarnationKey) const
 {
-    const auto place = until_.find(life);
+    const auto place = until_.find(incarnationKey);
     return place == until_.end() ? kernel::Instant() : place->second;
 }
 
--- a/src/forward/BackoffTable.h
+++ b/src/forward/BackoffTable.h
@@ -1,6 +1,6 @@
 /** \file
- * Which backend servers have asked this box for rest, and until when. A server that turns a request
- * away may say for how long it wants nothing more from the box that sent it.
+ * Backend servers that have asked this box for backoff, and until when. A server that rejects a
+ * request may say for how long it wants no more requests from the box that sent it.
  */
 #pragma once
 
@@ -11,28 +11,30 @@
 
 namespace limereel::forward {
 
-/** The rests of one box. Pure: time is handed in. */
+/** The backoffs requested from one box. Deterministic: callers pass in the current time. */
 class BackoffTable
 {
 public:
-    /** \param longest what is kept of a longer rest. */
+    /** \param longest upper bound on a backoff. */
     explicit BackoffTable(kernel::Duration longest)
         : longest_(longest)
     {
     }
 
     /**
-     * The server asks for rest. A shorter word doesn't cut a longer one that still holds.
-     * \param life names the server's life: one that takes its address over asked for nothing.
-     * \param asked from \a now on.
-     * \return the end of its rest.
+     * Records that a server asks for backoff. A shorter backoff doesn't end a longer one that is
+     * still in force.
+     * \param incarnationKey the server's incarnation: another one at the same address isn't
+     * affected.
+     * \param asked the backoff asked for, from \a now on.
+     * \return the end of the server's backoff.
      */
-    kernel::Instant note(std::uint64_t life, kernel::Duration asked, kernel::Instant now);
+    kernel::Instant note(std::uint64_t incarnationKey, kernel::Duration asked, kernel::Instant now);
 
-    /** The end of the last rest that \a life asked for; the epoch if there is none. */
-    kernel::Instant until(std::uint64_t life) const;
+    /** The end of the last backoff that \a incarnationKey asked for; the epoch if there is none. */
+    kernel::Instant until(std::uint64_t incarnationKey) const;
 
-    /** Forgets the rests that are over. */
+    /** Drops the backoffs that have ended. */
     void expire(kernel::Instant now);
 
     std::size_t size() const { return until_.size(); }
--- a/src/forward/Call.h
+++ b/src/forward/Call.h
@@ -1,6 +1,6 @@
 /** \file
- * A caller's request and a backend server's answer as typed values, whatever the dialect that they
- * were spoken in.
+ * A caller's request and a backend server's answer as typed values, independent of the protocol
+ * dialect.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace limereel::forward {
 
-/** A part of a prompt. Parts are shared between requests; the order counts. */
+/** A part of a prompt. Requests may share parts; their order matters. */
 struct PromptPart
 {
     std::uint64_t part = 0; ///< Hash of its id.
@@ -27,53 +27,54 @@
 {
     std::string model;
     std::uint32_t tokensIn = 0;
-    std::uint32_t tokensOut = 0; ///< At most.
+    std::uint32_t tokensOut = 0; ///< Upper bound.
     std::vector<PromptPart> parts;
 
     auto operator<=>(const Prompt &) const = default;
 };
 
-/** What a caller asks for, beside the bytes that are passed on. */
+/** What a caller asks for, apart from the bytes that are passed on. */
 struct Call
 {
     std::string id;
     std::string host;
     std::string key;                          ///< Secret: never logged, never passed on.
-    kernel::Duration callerTimeout{};         ///< How long the caller waits; zero: untold.
-    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has.
+    kernel::Duration callerTimeout{};         ///< How long the caller waits; zero: not stated.
+    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has received.
     Prompt prompt;
 
     auto operator<=>(const Call &) const = default;
 };
 
-/** How loaded a backend server says that it is. */
+/** The load that a backend server reports. */
 struct ReportedLoad
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t slots = 0;
-    std::uint32_t slowness = 100; ///< How long work takes there now, in hundredths of the usual.
+    std::uint32_t slowness = 100; ///< Current processing time, as a percentage of the usual one.
 
     auto operator<=>(const ReportedLoad &) const = default;
 };
 
-/** What the head of an answer says. */
+/** What the header fields of an answer say. */
 struct AnswerHead
 {
     int status = 0;
-    std::string id;             ///< Of the request that it answers; empty: untold.
-    bool notRun = false;        ///< The backend server says that it didn't run the request.
+    std::string id;             ///< Id of the request that it answers; empty: not stated.
+    bool notRun = false;        ///< The backend server states that it didn't run the request.
     bool wrongInstance = false; ///< Another backend server has the address now.
     bool signedByBackend = false;
     std::optional<ReportedLoad> load;
-    bool loadUnreadable = false;             ///< It says something of its load that can't be read.
-    std::optional<kernel::Duration> keptFor; ///< How long an idle connection is kept.
-    kernel::Duration coldFor{}; ///< How long the backend server is still cold; zero: untold.
-    /** How long the backend server wants nothing more from this box, as it has turned it away;
-     * nothing: it doesn't say. */
+    bool loadUnreadable = false; ///< It reports its load in a form that can't be parsed.
+    /** How long the backend server keeps an idle connection. */
+    std::optional<kernel::Duration> keptFor;
+    kernel::Duration coldFor{}; ///< How long the backend server is still cold; zero: not stated.
+    /** How long the backend server wants no more requests from this box, after it rejected one;
+     * nothing: not stated. */
     std::optional<kernel::Duration> backoffFor;
-    bool backoffUnreadable = false; ///< It says so in a way that can't be read.
-    bool leaving = false;           ///< The backend server is about to end.
+    bool backoffUnreadable = false; ///< It asks for backoff in a form that can't be parsed.
+    bool leaving = false;           ///< The backend server is about to shut down.
 
     auto operator<=>(const AnswerHead &) const = default;
 };
--- a/src/forward/ColdRateLimiter.cpp
+++ b/src/forward/ColdRateLimiter.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// A number from 0 up to 1, the same for the same hash.
-double chanceOf(std::uint64_t hash)
+// A number in [0, 1) that depends only on the hash.
+double fractionOf(std::uint64_t hash)
 {
     constexpr double Steps = 1 << 24;
-    constexpr int Kept = 40;
-    return static_cast<double>(hash >> Kept) / Steps;
+    constexpr int Shift = 40;
+    return static_cast<double>(hash >> Shift) / Steps;
 }
 
-double partOf(const FleetPart &fleet)
+double visibleShare(const FleetPart &fleet)
 {
     const double all = static_cast<double>(std::max<std::size_t>(fleet.greatest, 1));
     return std::min(1.0, static_cast<double>(fleet.seen) / all);
@@ -41,12 +41,12 @@
 {
     const auto [place, added] = grants_.try_emplace(server);
     Grants &grants = place->second;
-    if (added || now - grants.asked >= policy_.window) {
-        grants.since = now;
+    if (added || now - grants.lastAsked >= policy_.window) {
+        grants.askedSince = now;
     }
-    grants.asked = now;
-    while (!grants.within.empty() && now - grants.within.front() >= policy_.window) {
-        grants.within.pop_front();
+    grants.lastAsked = now;
+    while (!grants.recent.empty() && now - grants.recent.front() >= policy_.window) {
+        grants.recent.pop_front();
     }
     return grants;
 }
@@ -56,37 +56,37 @@
     const Grants &grants = grantsOf(ask.server, now);
     double part = policy_.settledPart;
     if (!fleet.settled) {
-        const bool first = now - grants.since < policy_.window;
+        const bool first = now - grants.askedSince < policy_.window;
         part = policy_.ownerPart * (first ? policy_.firstPart : 1);
     }
-    return take(ask, part * bound(ask.perSecond) * partOf(fleet), now);
+    return tryGrant(ask, part * bound(ask.perSecond) * visibleShare(fleet), now);
 }
 
 bool ColdRateLimiter::grantWithoutOwner(const ColdSend &ask, const FleetPart &fleet,
                                         kernel::Instant now)
 {
     const double all = static_cast<double>(std::max<std::size_t>(fleet.greatest, 1));
-    return take(ask, policy_.ownerlessPart * bound(ask.perSecond) / all, now);
+    return tryGrant(ask, policy_.ownerlessPart * bound(ask.perSecond) / all, now);
 }
 
-bool ColdRateLimiter::take(const ColdSend &ask, double rate, kernel::Instant now)
+bool ColdRateLimiter::tryGrant(const ColdSend &ask, double rate, kernel::Instant now)
 {
     Grants &grants = grantsOf(ask.server, now);
     const double whole = std::floor(rate);
     const auto slot = static_cast<std::uint64_t>(now.time_since_epoch() / policy_.window);
     const std::uint64_t draw = kernel::combine(kernel::combine(ask.server, ask.box), slot);
-    const double allowed = whole + (chanceOf(draw) < rate - whole ? 1 : 0);
-    if (static_cast<double>(grants.within.size()) + 1 > allowed) {
+    const double allowed = whole + (fractionOf(draw) < rate - whole ? 1 : 0);
+    if (static_cast<double>(grants.recent.size()) + 1 > allowed) {
         return false;
     }
-    grants.within.push_back(now);
+    grants.recent.push_back(now);
     return true;
 }
 
 void ColdRateLimiter::expire(kernel::Instant now)
 {
     std::erase_if(grants_,
-                  [&](const auto &item) { return now - item.second.asked >= policy_.window; });
+                  [&](const auto &item) { return now - item.second.lastAsked >= policy_.window; });
 }
 
 } // namespace limereel::forward
--- a/src/forward/ColdStarts.cpp
+++ b/src/forward/ColdStarts.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Longest time that a word counts for: one that says more is wrong, and would throttle a server
-// for good.
-constexpr kernel::Duration LongestTold = 60s;
-// What is forgotten a second late costs some bytes; to look through all ten times a second would
-// cost a large fleet's small box some hundredths of its processor.
+// Upper bound on a reported cold phase: a longer one is an error and would throttle the server
+// forever.
+constexpr kernel::Duration MaxReportedCold = 60s;
+// Keeping entries a second longer costs a few bytes; searching all of them ten times a second would
+// cost a small box of a large fleet some hundredths of its processor.
 constexpr kernel::Duration ExpireEvery = 1s;
 
 } // namespace
@@ -36,16 +36,17 @@
     if (left <= kernel::Duration::zero()) {
         return;
     }
-    kernel::Instant &told = known_[server].told;
-    told = std::max(told, now + std::min<kernel::Duration>(left, LongestTold));
+    kernel::Instant &reportedUntil = known_[server].reportedUntil;
+    reportedUntil =
+            std::max(reportedUntil, now + std::min<kernel::Duration>(left, MaxReportedCold));
 }
 
 bool ColdStarts::startedWithin(std::uint64_t server, kernel::Duration span,
                                kernel::Instant now) const
 {
     const auto known = known_.find(server);
-    return known != known_.end() && known->second.started != kernel::Instant()
-           && now - known->second.started < span;
+    return known != known_.end() && known->second.startedAt != kernel::Instant()
+           && now - known->second.startedAt < span;
 }
 
 ColdState ColdStarts::state(std::uint64_t service, std::uint64_t server, kernel::Instant now) const
@@ -55,10 +56,10 @@
     if (policy == services_.end() || known == known_.end() || policy->second.perSecond <= 0) {
         return {};
     }
-    const bool everStarted = known->second.started != kernel::Instant();
-    const kernel::Instant warm =
-            everStarted ? known->second.started + policy->second.duration : now;
-    const kernel::Instant until = std::max(warm, known->second.told);
+    const bool everStarted = known->second.startedAt != kernel::Instant();
+    const kernel::Instant warmAt =
+            everStarted ? known->second.startedAt + policy->second.duration : now;
+    const kernel::Instant until = std::max(warmAt, known->second.reportedUntil);
     return until > now ? ColdState{until - now, policy->second.perSecond} : ColdState{};
 }
 
@@ -75,7 +76,7 @@
     expired_ = now;
     std::erase_if(known_, [now](const auto &item) {
         const Known &known = item.second;
-        return now >= known.told && now - known.started >= LongestTold;
+        return now >= known.reportedUntil && now - known.startedAt >= MaxReportedCold;
     });
 }
 
--- a/src/forward/ColdStarts.h
+++ b/src/forward/ColdStarts.h
@@ -1,10 +1,12 @@
 /** \file
- * Which backend servers have started lately and bear only so many requests a second.
+ * Backend servers that have started recently ("cold" ones) and can take only a limited number of
+ * requests a second.
  *
- * A server is cold by its own word, in its entry or in an answer; when it is listed for the first
- * time; when it may have been restarted unseen; and when its hall is given work again after it was
- * drained. Only time makes it warm: a word that says so may be older than its last start. To take a
- * warm server for cold costs little, as the bound is above what a server gets on average.
+ * A server is cold if its entry or an answer says so, when it is listed for the first time, when it
+ * may have been restarted unnoticed, and when its hall gets work again after a drain. Only the
+ * passing of time makes it warm: a report that says that it is warm may be older than its last
+ * start. Taking a warm server for cold costs little, as the limit is above what a server gets on
+ * average.
  */
 #pragma once
 
@@ -18,11 +20,11 @@
 
 namespace limereel::forward {
 
-/** How the servers of one service start. */
+/** The cold phase of the servers of one service. */
 struct ColdPolicy
 {
-    kernel::Duration duration{}; ///< From a start on.
-    double perSecond = 0;        ///< Requests that a cold server bears; 0: no bound.
+    kernel::Duration duration{}; ///< Length of the cold phase, from the start.
+    double perSecond = 0;        ///< Requests a second that a cold server can take; 0: no limit.
 
     auto operator<=>(const ColdPolicy &) const = default;
 };
@@ -30,39 +32,40 @@
 /** Whether one server is cold. */
 struct ColdState
 {
-    kernel::Duration left{}; ///< For how long it is; zero: it is warm, or there is no bound.
-    double perSecond = 0;    ///< Requests that it bears meanwhile.
+    kernel::Duration left{}; ///< How long it is still cold; zero: it is warm, or there is no limit.
+    double perSecond = 0;    ///< Requests a second that it can take until then.
 
     bool cold() const { return left > kernel::Duration::zero(); }
     auto operator<=>(const ColdState &) const = default;
 };
 
-/** What one box knows of it. Pure: time is handed in. */
+/** The cold servers known to one box. Deterministic: callers pass in the current time. */
 class ColdStarts
 {
 public:
-    /** Takes the policies of all services, by their names. */
+    /** Sets the policies of all services, by their names. */
     void setServices(const std::map<std::string, ColdPolicy> &services);
 
-    /** Whether cold servers of \a service are bounded in what they are sent. */
+    /** Whether the request rate to cold servers of \a service is limited. */
     bool bounded(const std::string &service) const;
 
-    /** The server says that it is cold for \a left longer, or another box says so of it. */
+    /** Records a report, from the server itself or from another box, that the server is cold for \a
+     * left longer. */
     void noteReported(std::uint64_t server, kernel::Duration left, kernel::Instant now);
 
-    /** The server has started, or may have started, not later than now. */
-    void noteStarted(std::uint64_t server, kernel::Instant now) { known_[server].started = now; }
+    /** Records that the server has started, or may have started, at \a now or before. */
+    void noteStarted(std::uint64_t server, kernel::Instant now) { known_[server].startedAt = now; }
 
-    /** Whether the server was noted as started less than \a span ago. */
+    /** Whether the last recorded start of the server is less than \a span ago. */
     bool startedWithin(std::uint64_t server, kernel::Duration span, kernel::Instant now) const;
 
     /** The state of \a server. \param service hash of the name of its service. */
     ColdState state(std::uint64_t service, std::uint64_t server, kernel::Instant now) const;
 
-    /** The same of a listed server. */
+    /** The state of a listed server. */
     ColdState state(const ListedServer &server, kernel::Instant now) const;
 
-    /** Forgets servers that have been warm for long. */
+    /** Drops servers that have been warm for a long time. */
     void expire(kernel::Instant now);
 
     std::size_t size() const { return known_.size(); }
@@ -70,13 +73,14 @@
 private:
     struct Known
     {
-        kernel::Instant told;    ///< Cold until then, by a word.
-        kernel::Instant started; ///< Cold for the service's time from then on.
+        kernel::Instant reportedUntil; ///< End of the cold phase, as reported.
+        /** Last start; the cold phase lasts for the service's time from then on. */
+        kernel::Instant startedAt;
     };
 
     std::unordered_map<std::uint64_t, ColdPolicy> services_; ///< By the hash of the name.
     std::unordered_map<std::uint64_t, Known> known_;         ///< By ListedServer::hash().
-    kernel::Instant expired_;                                ///< When expire() last looked.
+    kernel::Instant expired_;                                ///< When expire() last searched.
 };
 
 } // namespace limereel::forward
--- a/src/forward/CrashTable.cpp
+++ b/src/forward/CrashTable.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-// More lives than this say no more.
-constexpr std::size_t MostServers = 8;
-// A request that ends servers now and then must be stopped all the same.
-constexpr std::uint32_t MostPardons = 8;
+// More incarnations than this add no information.
+constexpr std::size_t MaxServers = 8;
+// Bounds what cleared records make up for, so that a request that crashes servers only now and then
+// is stopped in the end.
+constexpr std::uint32_t MaxForgivenTrials = 8;
 
-bool isEmpty(const CrashRecord &record)
+bool isCleared(const CrashRecord &record)
 {
     return record.servers.empty() && record.failedTrials == 0;
 }
@@ -35,8 +36,8 @@
 
 std::uint32_t netFailedTrials(const CrashRecord &record)
 {
-    const std::uint32_t pardons = std::min(record.round, MostPardons);
-    return record.failedTrials > pardons ? record.failedTrials - pardons : 0;
+    const std::uint32_t forgiven = std::min(record.round, MaxForgivenTrials);
+    return record.failedTrials > forgiven ? record.failedTrials - forgiven : 0;
 }
 
 CrashRecord mergedRecord(const CrashRecord &one, const CrashRecord &other)
@@ -47,8 +48,8 @@
     CrashRecord both = one;
     both.servers.clear();
     std::ranges::set_union(one.servers, other.servers, std::back_inserter(both.servers));
-    // The least are kept, so that the order of joining doesn't matter.
-    both.servers.resize(std::min(both.servers.size(), MostServers));
+    // The smallest identifiers are kept, so that the order of merging doesn't matter.
+    both.servers.resize(std::min(both.servers.size(), MaxServers));
     both.failedTrials = std::max(one.failedTrials, other.failedTrials);
     return both;
 }
@@ -82,7 +83,7 @@
     if (place == entries_.end()) {
         return SendRestriction::Free;
     }
-    if (!isEmpty(place->second.record)) {
+    if (!isCleared(place->second.record)) {
         place->second.changed = now;
     }
     return restriction(place->second, now);
@@ -105,26 +106,26 @@
     if (place != entries_.end()) {
         return place->second;
     }
-    makeRoom();
+    evictLeastRelevant();
     ++shapes_[request.shape];
     Entry &made = entries_[request];
     made.record.request = request;
     return made;
 }
 
-// The one that says least goes: one under which few servers ended, and of those the oldest. So a
-// flood of other requests doesn't let a stopped one through.
-void CrashTable::makeRoom()
+// Drops the record with the fewest crashes, and of those the oldest, so that a flood of other
+// requests doesn't push out the record of a stopped one.
+void CrashTable::evictLeastRelevant()
 {
     if (entries_.size() < policy_.records) {
         return;
     }
-    const auto says = [](const auto &item) {
+    const auto relevance = [](const auto &item) {
         const Entry &entry = item.second;
         return std::tuple(netFailedTrials(entry.record), entry.record.servers.size(),
                           entry.changed);
     };
-    const auto least = std::ranges::min_element(entries_, {}, says);
+    const auto least = std::ranges::min_element(entries_, {}, relevance);
     const RequestIdentity request = least->first;
     drop(request);
 }
@@ -161,7 +162,7 @@
         return false;
     }
     seen.servers.insert(std::ranges::lower_bound(seen.servers, server), server);
-    seen.servers.resize(std::min(seen.servers.size(), MostServers));
+    seen.servers.resize(std::min(seen.servers.size(), MaxServers));
     seen.failedTrials += alone ? 1 : 0;
     return change(seen, now);
 }
@@ -169,15 +170,15 @@
 bool CrashTable::forget(const RequestIdentity &request, kernel::Instant now)
 {
     const CrashRecord known = record(request);
-    if (isEmpty(known)) {
+    if (isCleared(known)) {
         return false;
     }
     return change({request, known.round + 1, {}, 0}, now);
 }
 
-bool CrashTable::merge(const CrashRecord &told, kernel::Instant now)
+bool CrashTable::merge(const CrashRecord &received, kernel::Instant now)
 {
-    return change(mergedRecord(record(told.request), told), now);
+    return change(mergedRecord(record(received.request), received), now);
 }
 
 CrashRecord CrashTable::record(const RequestIdentity &request) const
@@ -208,7 +209,7 @@
     std::vector<RequestIdentity> old;
     for (const auto &[request, entry] : entries_) {
         const kernel::Duration kept =
-                isEmpty(entry.record) ? policy_.clearedKept : policy_.remembered;
+                isCleared(entry.record) ? policy_.clearedKept : policy_.remembered;
         if (now - entry.changed >= kept) {
             old.push_back(request);
         }
--- a/src/forward/CrashTable.h
+++ b/src/forward/CrashTable.h
@@ -1,16 +1,19 @@
 /** \file
- * Requests under which backend servers have ended: a request that crashes each server that begins
- * to run it, and comes again, must not go through the fleet server by server.
+ * Records of requests during which backend servers crashed. A request that crashes every server
+ * that runs it, and that callers send again and again, must not take down the fleet server by
+ * server.
  *
- * A server's end alone proves nothing: up to its number of slots innocent requests run beside the
- * guilty one. So ends are only counted, each life of a server once, and a request under which a few
- * servers have ended runs alone from then on: one send at a time in the whole fleet. If that send's
- * server ends too, the request is stopped; if it gets a whole answer, all is forgotten. What a
- * storm of crashes does to equal and harmless requests is undone by the first of them that is
- * served, and one that was served so often is stopped only after as many more ends.
+ * One crash proves nothing about a request: as many requests run on a server at a time as it has
+ * slots, and only one of them need have caused the crash. So crashes are only counted, once for
+ * each server incarnation. A request that was running during a few crashes may from then on run
+ * only alone: one send at a time in the whole fleet. If the server crashes during that send too,
+ * the request is stopped; if the send gets a complete answer, the record is cleared. A wave of
+ * crashes may thus restrict requests that didn't cause them, but the first complete answer lifts
+ * the restriction. A request whose record was cleared several times is stopped only after as many
+ * additional crashes.
  *
- * Records are joined whatever way they come, in any order and any number of times, to the same
- * (a state-based CRDT: Shapiro, Preguica, Baquero and Zawirski 2011).
+ * Records can be merged in any order and any number of times with the same result (a state-based
+ * CRDT: Shapiro, Preguica, Baquero and Zawirski 2011).
  */
 #pragma once
 
@@ -26,28 +29,29 @@
 
 namespace limereel::forward {
 
-/** What is known of one request. */
+/** The crashes recorded for one request. */
 struct CrashRecord
 {
     RequestIdentity request;
-    std::uint32_t round = 0; ///< Grows when all is forgotten; earlier rounds say nothing any more.
-    std::vector<std::uint64_t> servers; ///< Lives of servers that ended under it, sorted.
-    std::uint32_t failedTrials = 0;     ///< Sends alone under which a server ended.
+    /** Incremented when the record is cleared; records of earlier rounds are void. */
+    std::uint32_t round = 0;
+    std::vector<std::uint64_t> servers; ///< Incarnations that crashed while they ran it, sorted.
+    std::uint32_t failedTrials = 0;     ///< Crashes during a send alone.
 
     auto operator<=>(const CrashRecord &) const = default;
 };
 
-/** How often the request counts as having ended a server when it ran alone. Each time that all was
- * forgotten as it got a whole answer makes up for one such end: what was served before only ran
- * beside another one, most likely. 0: it isn't stopped. */
+/** The crashes during sends alone that count against the request. Each time that its record was
+ * cleared, because it got a complete answer, makes up for one of them: most likely those crashes
+ * were caused by another request on the same server. 0: the request isn't stopped. */
 std::uint32_t netFailedTrials(const CrashRecord &record);
 
-/** What both know together. Both are of the same request. */
+/** The merged record. Both records belong to the same request. */
 CrashRecord mergedRecord(const CrashRecord &one, const CrashRecord &other);
 
-/** How a request may be sent. */
+/** How a request may be sent, given the crashes recorded for it. */
 enum class SendRestriction : std::uint8_t {
-    Free,   ///< As any other.
+    Free,   ///< Without restriction.
     Alone,  ///< One send at a time in the whole fleet.
     Stopped ///< Not at all.
 };
@@ -55,19 +59,23 @@
 /** The name of \a standing for logs and counters. */
 const char *text(SendRestriction restriction);
 
-/** The settings of the book. */
+/** The settings of a crash table. */
 struct CrashPolicy
 {
-    std::size_t crashesBeforeAlone = 2; ///< Servers that end before the request runs alone.
-    kernel::Duration firstBlock = 2min; ///< A stopped request runs alone again after this,
-    int blockGrowth = 8;                ///< each further time after so many times as long,
-    std::uint32_t maxFailedTrials = 3;  ///< and after so many failed trials not any more.
-    kernel::Duration remembered = 24h;  ///< Since a record changed or was asked for.
-    kernel::Duration clearedKept = 60s; ///< So long others are told that all is forgotten.
-    std::size_t records = 8192;         ///< Then those that say least give way.
+    std::size_t crashesBeforeAlone = 2; ///< Crashes after which the request runs only alone.
+    kernel::Duration firstBlock = 2min; ///< How long a request is stopped the first time.
+    int blockGrowth = 8; ///< Each further time it is stopped this many times as long.
+    /** Crashes during sends alone after which the request stays stopped. */
+    std::uint32_t maxFailedTrials = 3;
+    /** How long a record is kept after it last changed or was looked up. */
+    kernel::Duration remembered = 24h;
+    /** How long a cleared record is kept, so that other boxes learn of it. */
+    kernel::Duration clearedKept = 60s;
+    /** Most records kept; beyond that, those with the fewest crashes are dropped. */
+    std::size_t records = 8192;
 };
 
-/** The book of one box. Pure: time is handed in. */
+/** The crash records that one box has. Deterministic: callers pass in the current time. */
 class CrashTable
 {
 public:
@@ -76,35 +84,37 @@
     {
     }
 
-    /** Whether anything is known of a request of this shape. */
+    /** Whether there is a record of a request with this shape. */
     bool concerns(std::uint64_t shape) const { return shapes_.contains(shape); }
 
     SendRestriction restriction(const RequestIdentity &request, kernel::Instant now);
 
-    /** When a stopped request may run again; the longest time that is remembered if never. */
+    /** The time until a stopped request may run again; \c CrashPolicy::remembered if it never may;
+     * zero if it isn't stopped. */
     kernel::Duration stoppedFor(const RequestIdentity &request, kernel::Instant now) const;
 
-    /** A server ended under the request. \param server the life of it. \param alone it was sent
-     * alone. \return whether that is news. */
+    /** Records that a server crashed while it ran the request. \param server the server's
+     * incarnation. \param alone whether the request was sent alone. \return whether the record
+     * changed. */
     bool noteCrash(const RequestIdentity &request, std::uint64_t server, bool alone,
                    kernel::Instant now);
 
-    /** The request was answered, or an operator lifts it: all is forgotten. \return whether there
-     * was anything. */
+    /** Clears the record, because the request got a complete answer or an operator lifted the
+     * restriction. \return whether there was anything to clear. */
     bool forget(const RequestIdentity &request, kernel::Instant now);
 
-    /** Takes in what another box knows. \return whether that is news. */
+    /** Merges a record of another box. \return whether the own record changed. */
     bool merge(const CrashRecord &record, kernel::Instant now);
 
-    /** What is known of the request; an empty record if nothing is. */
+    /** The record of the request; an empty one if there is none. */
     CrashRecord record(const RequestIdentity &request) const;
 
-    /** What all boxes should know: records of requests that don't run freely, or did not until they
-     * were forgotten. */
+    /** The records that all boxes need: those of requests that are restricted, or were until their
+     * record was cleared. */
     std::vector<CrashRecord> shared() const;
     bool isShared(const RequestIdentity &request) const;
 
-    /** Drops what is too old. */
+    /** Drops records that are too old. */
     void expire(kernel::Instant now);
 
     std::size_t size() const { return entries_.size(); }
@@ -113,21 +123,21 @@
     struct Entry
     {
         CrashRecord record;
-        bool shared = false;       ///< Other boxes have heard of it.
-        kernel::Instant changed;   ///< When it last changed or was asked for.
-        kernel::Instant stoppedAt; ///< When its last failed trial was heard of.
+        bool shared = false;       ///< Other boxes have got the record.
+        kernel::Instant changed;   ///< When it last changed or was looked up.
+        kernel::Instant stoppedAt; ///< When this box learned of the last crash during a send alone.
     };
 
     SendRestriction restriction(const Entry &entry, kernel::Instant now) const;
     kernel::Duration hold(std::uint32_t times) const;
     Entry &entry(const RequestIdentity &request);
-    void makeRoom();
+    void evictLeastRelevant();
     void drop(const RequestIdentity &request);
     bool change(const CrashRecord &record, kernel::Instant now);
 
     CrashPolicy policy_;
     std::unordered_map<RequestIdentity, Entry> entries_;
-    std::unordered_map<std::uint64_t, std::size_t> shapes_; ///< Records by shape.
+    std::unordered_map<std::uint64_t, std::size_t> shapes_; ///< Number of records, by shape.
 };
 
 } // namespace limereel::forward
--- a/src/forward/Dialect.h
+++ b/src/forward/Dialect.h
@@ -1,8 +1,9 @@
 /** \file
- * What differs between interfaces that callers and backend servers may speak: how a request is
- * read, how one is written to a backend server, and what the head of an answer says.
+ * The differences between the protocol dialects that callers and backend servers may use: how a
+ * caller's request is read, how a request to a backend server is written, and how the head of an
+ * answer is read.
  *
- * A dialect knows names and formats and decides nothing.
+ * A dialect defines names and formats and makes no decisions.
  */
 #pragma once
 
@@ -17,33 +18,33 @@
 
 namespace limereel::forward {
 
-/** What is added to a caller's request on its way to a backend server. */
+/** What is added to a caller's request when it is sent to a backend server. */
 struct SendContext
 {
     ListedServer server;
-    kernel::Duration left{};                  ///< Until the caller's deadline.
+    kernel::Duration left{};                  ///< Time left until the caller's deadline.
     std::string organisation;                 ///< Empty: none.
     std::optional<std::uint32_t> priority;    ///< 0 goes first.
-    std::optional<kernel::Endpoint> takeFrom; ///< Where the server may take prompt parts from.
-    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has.
+    std::optional<kernel::Endpoint> takeFrom; ///< Server from which it may fetch prompt parts.
+    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has received.
 };
 
-/** The hooks of one dialect. */
+/** The functions of one dialect. */
 struct Dialect
 {
-    /** The typed request, or what is wrong with it. */
+    /** Parses a caller's request. Returns the typed request, or a description of the error. */
     std::function<tl::expected<Call, std::string>(const http::Request &)> readCall;
 
-    /** The request as it goes to a backend server. */
+    /** Returns the request as it is sent to a backend server. */
     std::function<http::Request(const http::Request &, const SendContext &)> writeRequest;
 
     std::function<AnswerHead(int status, const http::Fields &)> readHead;
 
-    /** The fields of a refusal: the caller's request id and when to come back. */
+    /** Returns the fields of a refusal: the caller's request id and when to retry. */
     std::function<http::Fields(const std::string &requestId, kernel::Duration comeBackIn)>
             refusalFields;
 
-    /** The path at which a balancer asks whether the box is ready. */
+    /** The path at which a load balancer asks whether the box is ready. */
     std::string readyPath;
 };
 
--- a/src/forward/EventCutter.cpp
+++ b/src/forward/EventCutter.cpp
@@ -26,7 +26,7 @@
     return std::nullopt;
 }
 
-// The place behind the first blank line from \a from on; npos if there is none.
+// The position after the first blank line at or after \a from; npos if there is none.
 std::size_t endOfEvent(std::string_view text, std::size_t from)
 {
     while (true) {
@@ -49,27 +49,28 @@
 
 std::vector<RawEvent> EventCutter::take(std::string_view part)
 {
-    // A blank line may straddle two parts: three bytes of what was there are looked at again.
+    // A blank line may be split between two parts, so the last three bytes of the earlier one are
+    // searched again.
     constexpr std::size_t Overlap = 3;
-    std::size_t from = rest_.size() < Overlap ? 0 : rest_.size() - Overlap;
-    rest_ += part;
+    std::size_t from = pending_.size() < Overlap ? 0 : pending_.size() - Overlap;
+    pending_ += part;
     std::vector<RawEvent> events;
     std::size_t begin = 0;
-    for (std::size_t end = endOfEvent(rest_, from); end != std::string::npos;
-         end = endOfEvent(rest_, begin)) {
-        std::string bytes = rest_.substr(begin, end - begin);
+    for (std::size_t end = endOfEvent(pending_, from); end != std::string::npos;
+         end = endOfEvent(pending_, begin)) {
+        std::string bytes = pending_.substr(begin, end - begin);
         const auto id = idIn(bytes);
         events.push_back({std::move(bytes), id});
         begin = end;
     }
-    rest_.erase(0, begin);
+    pending_.erase(0, begin);
     return events;
 }
 
 std::string EventCutter::takeRest()
 {
     std::string rest;
-    rest.swap(rest_);
+    rest.swap(pending_);
     return rest;
 }
 
--- a/src/forward/EventCutter.h
+++ b/src/forward/EventCutter.h
@@ -1,8 +1,8 @@
 /** \file
- * Cuts a stream of server-sent events into whole events, bytes unchanged, and reads their ids.
+ * Splits a stream of server-sent events into complete events, bytes unchanged, and reads their ids.
  *
- * Only whole events are passed on, so an answer that breaks off in the middle of one can go on
- * elsewhere after the last whole one.
+ * Only complete events are passed on, so that an answer that breaks off in the middle of an event
+ * can be resumed from another server after the last complete one.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace limereel::forward {
 
-/** One event as it came, the blank line at its end included. */
+/** One event as received, including the blank line at its end. */
 struct RawEvent
 {
     std::string bytes;
@@ -23,18 +23,18 @@
     auto operator<=>(const RawEvent &) const = default;
 };
 
-/** Takes parts of a stream, gives whole events. */
+/** Splits a stream that arrives in parts. */
 class EventCutter
 {
 public:
-    /** The events that \a part completes. */
+    /** Adds \a part to the stream. \return the events that it completes. */
     std::vector<RawEvent> take(std::string_view part);
 
-    /** What is left of an event that has no end yet; takes it out. */
+    /** Removes and returns the bytes of the last, incomplete event. */
     std::string takeRest();
 
 private:
-    std::string rest_;
+    std::string pending_;
 };
 
 } // namespace limereel::forward
--- a/src/forward/FleetRetryBudget.cpp
+++ b/src/forward/FleetRetryBudget.cpp
@@ -5,7 +5,8 @@
 namespace {
 
 constexpr int SlicesInWindow = 20;
-// Boxes count windows of their own and requests arrive unevenly at them, so none spends it all.
+// The windows of boxes aren't aligned and requests are spread unevenly over boxes, so each box
+// spends only this part.
 constexpr double SafePart = 0.8;
 
 } // namespace
--- a/src/forward/FleetRetryBudget.h
+++ b/src/forward/FleetRetryBudget.h
@@ -1,9 +1,10 @@
 /** \file
- * Repeats come out of a budget that the whole fleet shares: in any window, a ratio of the requests
- * plus a slack. Each box spends its part of it, without asking the others: the ratio of its own
- * requests, and the slack divided by the boxes.
+ * The budget for retries, which the whole fleet shares: in any window, a ratio of the requests plus
+ * a slack. Each box spends its own part without asking the others: the ratio of its own requests,
+ * and the slack divided by the number of boxes.
  *
- * What a backend server rejects counts too, so a full service isn't hammered.
+ * Retries after a rejection by a backend server count too, so that an overloaded service isn't
+ * flooded.
  */
 #pragma once
 
@@ -15,7 +16,7 @@
 
 namespace limereel::forward {
 
-/** The bound of the whole fleet. */
+/** The limit on retries of the whole fleet. */
 struct RetryBound
 {
     double ratio = 0;
@@ -34,19 +35,19 @@
     {
     }
 
-    /** Replaces the bound of the whole fleet. */
+    /** Replaces the limit of the whole fleet. */
     void setBound(RetryBound bound) { bound_ = bound; }
 
     /** Sets how many boxes share the slack. */
     void setBoxes(std::size_t boxes) { boxes_ = boxes == 0 ? 1 : boxes; }
 
-    /** Counts a request of a caller for \a service. */
+    /** Counts a caller's request for \a service. */
     void countRequest(const std::string &service, kernel::Instant now);
 
-    /** Takes a repeat. \return false if this box's part is spent. */
+    /** Spends one retry. \return false if this box's part is used up. */
     bool take(const std::string &service, kernel::Instant now);
 
-    /** Repeats that are left now. */
+    /** Retries that are left now. */
     double left(const std::string &service, kernel::Instant now);
 
 private:
--- a/src/forward/FleetSizeEstimate.cpp
+++ b/src/forward/FleetSizeEstimate.cpp
@@ -7,14 +7,14 @@
 std::size_t FleetSizeEstimate::note(std::size_t seen, kernel::Instant now)
 {
     const std::size_t boxes = std::max<std::size_t>(seen, 1);
-    if (!heard_) {
-        heard_ = true;
-        at_ = now;
+    if (!called_) {
+        called_ = true;
+        seenAt_ = now;
     }
-    const kernel::Duration held = guessed_ ? policy_.guessFor : policy_.rememberedFor;
-    if (boxes >= boxes_ || now - at_ >= held) {
+    const kernel::Duration validFor = guessed_ ? policy_.guessFor : policy_.rememberedFor;
+    if (boxes >= boxes_ || now - seenAt_ >= validFor) {
         boxes_ = boxes;
-        at_ = now;
+        seenAt_ = now;
         guessed_ = false;
     }
     return boxes_;
--- a/src/forward/FleetSizeEstimate.h
+++ b/src/forward/FleetSizeEstimate.h
@@ -1,9 +1,9 @@
 /** \file
- * How many boxes a fleet is taken to have by one that shares a bound with the others.
+ * Estimates the size of the fleet for a box that shares a limit with the others.
  *
- * A box that is cut off, or that has just started, sees few others; if it divided the bound by
- * those, the parts of a fleet would together spend it several times over. So the greatest number
- * that was seen lately counts, and before anything was seen, a cautious guess.
+ * A box that is cut off or has just started sees few others. If it divided the limit by that
+ * number, the parts of a fleet would together exceed the limit several times over. So the largest
+ * number seen recently counts, and before any was seen, a cautious guess.
  */
 #pragma once
 
@@ -13,15 +13,15 @@
 
 namespace limereel::forward {
 
-/** The settings of the memory. */
+/** The settings of the estimate. */
 struct FleetSizeEstimatePolicy
 {
-    std::size_t guess = 32;               ///< Before the others can have been heard of.
-    kernel::Duration guessFor = 3s;       ///< From the first word.
-    kernel::Duration rememberedFor = 60s; ///< How long a greater fleet is remembered.
+    std::size_t guess = 32;         ///< Estimate until the other boxes can be known.
+    kernel::Duration guessFor = 3s; ///< How long the guess holds, from the first call of note().
+    kernel::Duration rememberedFor = 60s; ///< How long a larger fleet is remembered.
 };
 
-/** The memory of one box. Pure: time is handed in. */
+/** The estimate of one box. Deterministic: callers pass in the current time. */
 class FleetSizeEstimate
 {
 public:
@@ -31,15 +31,15 @@
     {
     }
 
-    /** Takes in how many boxes are seen now. \return how many count. */
+    /** Records how many boxes are seen now. \return the estimate. */
     std::size_t note(std::size_t seen, kernel::Instant now);
 
 private:
     FleetSizeEstimatePolicy policy_;
     std::size_t boxes_;
-    bool heard_ = false;  ///< Some word came.
-    bool guessed_ = true; ///< boxes_ is the guess.
-    kernel::Instant at_;  ///< When boxes_ was last seen.
+    bool called_ = false;    ///< Whether note() was called.
+    bool guessed_ = true;    ///< Whether \c boxes_ is still the guess.
+    kernel::Instant seenAt_; ///< When \c boxes_ was last seen.
 };
 
 } // namespace limereel::forward
--- a/src/forward/Freshness.h
+++ b/src/forward/Freshness.h
@@ -1,10 +1,10 @@
 /** \file
- * How recently the configuration in force was confirmed to be the newest one, and whether that
- * still allows a request that needs a key.
+ * How recently the configuration in force was confirmed to be the newest one, and whether that is
+ * recent enough to serve requests that need a key.
  *
- * A confirmation counts from when its question was sent, on the steady clock: the answer may have
- * waited anywhere on its way. So a process that was frozen, or that a store no longer answers,
- * notices by itself. What then becomes of keys is the operator's choice (UnconfirmedKeys).
+ * A confirmation counts from when its request was sent, on the steady clock, since the answer may
+ * have been delayed by any amount. So a process that was frozen, or that gets no answer from a
+ * store, notices by itself. The operator chooses what happens to keys then (UnconfirmedKeys).
  */
 #pragma once
 
@@ -16,10 +16,11 @@
 
 namespace limereel::forward {
 
-/** What becomes of API keys once the configuration has not been confirmed for too long. */
+/** What happens to requests with API keys once the configuration has not been confirmed for too
+ * long. */
 enum class UnconfirmedKeys : std::uint8_t {
-    Refuse, ///< Nothing with a key runs: a key that was taken away stops everywhere in time.
-    Honour  ///< The last configuration known goes on: a cut-off hall keeps serving.
+    Refuse, ///< Requests with a key are refused: a revoked key stops working everywhere in time.
+    Honour  ///< The last known configuration stays in use: a hall that is cut off keeps serving.
 };
 
 /** The freshness of one box's configuration. */
@@ -28,7 +29,7 @@
 public:
     /**
      * \param usableFor how long after a confirmation the configuration counts as confirmed.
-     * \param unconfirmed what becomes of keys after that.
+     * \param unconfirmed what happens to keys after that.
      */
     Freshness(kernel::Duration usableFor, UnconfirmedKeys unconfirmed)
         : usableFor_(usableFor)
@@ -36,7 +37,7 @@
     {
     }
 
-    /** The configuration in force was the newest one at \a asOf or later. */
+    /** Records that the configuration in force was the newest one at \a asOf or later. */
     void confirm(kernel::Instant asOf)
     {
         confirmed_ = confirmed_ ? std::max(*confirmed_, asOf) : asOf;
@@ -62,7 +63,7 @@
         return goesOn || confirmed(now);
     }
 
-    /** Since the last confirmation; nothing before the first one. */
+    /** Time since the last confirmation; nothing before the first one. */
     std::optional<kernel::Duration> age(kernel::Instant now) const
     {
         return confirmed_ ? std::optional(now - *confirmed_) : std::nullopt;
--- a/src/forward/HallReachability.h
+++ b/src/forward/HallReachability.h
@@ -1,9 +1,9 @@
 /** \file
- * What a box knows of the halls in which its backend servers stand: whether the way to one seems to
- * be cut off, and which halls get no request for now.
+ * Detects halls that seem to be cut off from this box, and decides which halls get no requests for
+ * now.
  *
- * A hall that is cut off answers for none of its servers. So one server that says nothing is no
- * sign, several are, and what is heard of one of them clears all.
+ * A hall that is cut off responds for none of its servers. So one unresponsive server proves
+ * nothing; several indicate a cut, and bytes received from any of them clear the suspicion.
  */
 #pragma once
 
@@ -17,31 +17,32 @@
 
 namespace limereel::forward {
 
-/** The settings of the book. */
+/** The settings of the detection. */
 struct HallPolicy
 {
-    std::size_t quietServers = 2; ///< Of a hall; then the way to it is doubted.
-    kernel::Duration silence{};   ///< Of all its servers.
-    kernel::Duration trial{};     ///< Between two requests to a doubted hall.
+    /** Unresponsive servers of a hall after which the network path to it is suspected. */
+    std::size_t quietServers = 2;
+    kernel::Duration silence{}; ///< Silence of all its servers that counts.
+    kernel::Duration trial{};   ///< Interval between two trial requests to a suspected hall.
 };
 
-/** What is known of one server of a hall. */
+/** What the state of one server indicates about its hall. */
 struct ServerSign
 {
-    kernel::Instant noResponseAt;  ///< When connecting to it last brought nothing back.
-    bool unansweredLately = false; ///< That is not long ago.
-    bool silent = false;           ///< Nothing comes from it though an answer is due.
+    kernel::Instant noResponseAt;  ///< When a connection attempt last got no response.
+    bool unansweredLately = false; ///< Whether that was recently.
+    bool silent = false;           ///< Whether it sends nothing while an answer is pending.
 
-    /** Whether it speaks for a cut. */
+    /** Whether it indicates that the hall is cut off. */
     bool quiet() const { return unansweredLately || silent; }
 };
 
-/** What is known of all servers of a hall. */
+/** What the states of a hall's servers together indicate. */
 class HallSigns
 {
 public:
     /** \param heard when bytes last came from any of them.
-     * \param quietFor since then, standstills of this box left out. */
+     * \param quietFor the time since then, less the stalls of this process. */
     HallSigns(kernel::Instant heard, kernel::Duration quietFor)
         : heard_(heard)
         , quietFor_(quietFor)
@@ -50,7 +51,7 @@
 
     void add(const ServerSign &sign);
 
-    /** Servers that say that their hall is cut off. */
+    /** The number of servers that indicate that their hall is cut off. */
     std::size_t countUnreachable(kernel::Duration silence) const;
 
 private:
@@ -59,7 +60,7 @@
     std::vector<ServerSign> quiet_;
 };
 
-/** The book of one box. Pure: time is handed in. */
+/** What one box knows of its halls. Deterministic: callers pass in the current time. */
 class HallReachability
 {
 public:
@@ -70,30 +71,30 @@
     {
     }
 
-    /** A request is about to be tried at a server of \a hall. */
+    /** Records that a request is about to be sent to a server of \a hall. */
     void noteAttempt(const std::string &hall, kernel::Instant now) { attempts_[hall] = now; }
 
-    /** Bytes came from a server of \a hall. */
+    /** Records that bytes came from a server of \a hall. */
     void noteHeard(const std::string &hall, kernel::Instant now) { heard_[hall] = now; }
 
-    /** When bytes last came from \a hall, also from servers that are gone since. */
+    /** When bytes last came from \a hall, including servers that are no longer listed. */
     kernel::Instant heard(const std::string &hall) const;
 
-    /** Puts the time of each hall's last bytes off by what \a standstill says of it. */
+    /** Moves the time of each hall's last bytes forward by what \a stalledFor returns for it. */
     void shiftTimes(const std::function<kernel::Duration(kernel::Instant since)> &stalledFor);
 
-    /** Whether the way to a hall is doubted. */
+    /** Whether the network path to a hall is suspected to be cut. */
     bool isSuspected(const HallSigns &signs) const;
 
-    /** The doubted halls that had a request lately: they get the next one after a while.
-     * \param quietServers how many there are, by hall. */
+    /** The suspected halls that had a request recently; each gets the next one after \c
+     * HallPolicy::trial. \param quietServers the number of unresponsive servers, by hall. */
     std::set<std::string> closed(const std::map<std::string, std::size_t> &quietServers,
                                  const SignsOf &signsOf, kernel::Instant now) const;
 
 private:
     HallPolicy policy_;
-    std::map<std::string, kernel::Instant> attempts_; ///< The last one, by hall.
-    std::map<std::string, kernel::Instant> heard_;    ///< The last bytes, by hall.
+    std::map<std::string, kernel::Instant> attempts_; ///< The last attempt, by hall.
+    std::map<std::string, kernel::Instant> heard_;    ///< When bytes last came, by hall.
 };
 
 } // namespace limereel::forward
--- a/src/forward/HolderIndex.h
+++ b/src/forward/HolderIndex.h
@@ -1,7 +1,8 @@
 /** \file
- * Which engines were lately sent which shared prompt parts, as the owner of the engine knows that a
- * prompt asks for first. Every box asks there first, so what one box learned serves all: without it
- * each box guesses where parts lie that another one had to send elsewhere, and they are read again.
+ * Records which engines were recently sent which shared prompt parts. The index is kept by the
+ * owner of the engine that a prompt prefers. Every box asks there first, so what one box learned
+ * serves all. Without it, each box has to guess where parts are that another box had to send
+ * elsewhere, and they are read again.
  */
 #pragma once
 
@@ -19,10 +20,10 @@
 {
     kernel::Duration remembered = 60s;
     std::size_t holders = 3;  ///< Engines remembered for one key.
-    std::size_t keys = 65536; ///< Then all is forgotten and learned anew.
+    std::size_t keys = 65536; ///< Most keys kept; beyond that the index is emptied.
 };
 
-/** The index of one box. Pure: time is handed in. */
+/** The index of one box. Deterministic: callers pass in the current time. */
 class HolderIndex
 {
 public:
@@ -31,13 +32,13 @@
     {
     }
 
-    /** A prompt whose shared parts have \a key was sent to \a engine. */
+    /** Records that a prompt whose shared parts have \a key was sent to \a engine. */
     void note(std::uint64_t key, membership::ShortHash engine, kernel::Instant now);
 
-    /** The engines that should hold the parts, the last one first. */
+    /** The engines that should hold the parts, the most recent first. */
     std::vector<membership::ShortHash> holders(std::uint64_t key, kernel::Instant now) const;
 
-    /** Drops what is too old. */
+    /** Drops entries that are too old. */
     void expire(kernel::Instant now);
 
     std::size_t size() const { return keys_.size(); }
--- a/src/forward/LeavingServers.cpp
+++ b/src/forward/LeavingServers.cpp
@@ -2,20 +2,20 @@
 
 namespace limereel::forward {
 
-bool LeavingServers::note(std::uint64_t life, kernel::Instant now)
+bool LeavingServers::note(std::uint64_t incarnationKey, kernel::Instant now)
 {
-    return needed_.insert_or_assign(life, now).second;
+    return lastListed_.insert_or_assign(incarnationKey, now).second;
 }
 
 void LeavingServers::expire(kernel::Instant now,
-                            const std::function<bool(std::uint64_t life)> &listed)
+                            const std::function<bool(std::uint64_t incarnationKey)> &listed)
 {
-    for (auto &[life, needed] : needed_) {
-        if (listed(life)) {
-            needed = now;
+    for (auto &[incarnationKey, lastListed] : lastListed_) {
+        if (listed(incarnationKey)) {
+            lastListed = now;
         }
     }
-    std::erase_if(needed_, [&](const auto &word) { return now - word.second >= keptFor_; });
+    std::erase_if(lastListed_, [&](const auto &item) { return now - item.second >= keptFor_; });
 }
 
 } // namespace limereel::forward
--- a/src/forward/LeavingServers.h
+++ b/src/forward/LeavingServers.h
@@ -1,6 +1,6 @@
 /** \file
- * Which backend servers have said themselves that they leave, by their lives. The word isn't taken
- * back by a list that is behind, nor by a good answer; a new life isn't bound by it.
+ * Backend servers that have announced their shutdown, by incarnation. An outdated list or a good
+ * answer doesn't undo the announcement; a new incarnation isn't affected by it.
  */
 #pragma once
 
@@ -12,30 +12,35 @@
 
 namespace limereel::forward {
 
-/** The words of one box's servers. Pure: time is handed in. */
+/** The announcements known to one box. Deterministic: callers pass in the current time. */
 class LeavingServers
 {
 public:
-    /** \param keptFor how long a word is kept after it was last needed. */
+    /** \param keptFor how long an announcement is kept after its incarnation was last listed. */
     explicit LeavingServers(kernel::Duration keptFor)
         : keptFor_(keptFor)
     {
     }
 
-    /** \a life has said that it leaves. \return whether that is news. */
-    bool note(std::uint64_t life, kernel::Instant now);
+    /** Records that \a incarnationKey has announced its shutdown. \return whether that is new. */
+    bool note(std::uint64_t incarnationKey, kernel::Instant now);
 
-    bool contains(std::uint64_t life) const { return needed_.contains(life); }
+    bool contains(std::uint64_t incarnationKey) const
+    {
+        return lastListed_.contains(incarnationKey);
+    }
 
-    /** Forgets words that weren't needed for long. \param listed whether a life is still listed,
-     * so that its word is needed. */
-    void expire(kernel::Instant now, const std::function<bool(std::uint64_t life)> &listed);
+    /** Drops announcements of incarnations that haven't been listed for a while. \param listed
+     * whether an incarnation is still listed. */
+    void expire(kernel::Instant now,
+                const std::function<bool(std::uint64_t incarnationKey)> &listed);
 
-    std::size_t size() const { return needed_.size(); }
+    std::size_t size() const { return lastListed_.size(); }
 
 private:
     kernel::Duration keptFor_;
-    std::unordered_map<std::uint64_t, kernel::Instant> needed_; ///< When each was last needed.
+    /** When each incarnation was last listed. */
+    std::unordered_map<std::uint64_t, kernel::Instant> lastListed_;
 };
 
 } // namespace limereel::forward
--- a/src/forward/PartIndex.cpp
+++ b/src/forward/PartIndex.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t MostUses = 6; ///< Servers remembered for one prefix.
-constexpr std::size_t MostPrefixes = 65536;
+constexpr std::size_t MaxUses = 6; ///< Servers remembered for one prefix.
+constexpr std::size_t MaxPrefixes = 65536;
 constexpr kernel::Duration SweepEvery = 5s;
 
 } // namespace
@@ -34,7 +34,7 @@
 
 void PartIndex::note(const Prompt &prompt, const std::string &server, kernel::Instant now)
 {
-    if (now - swept_ >= SweepEvery || prefixes_.size() >= MostPrefixes) {
+    if (now - swept_ >= SweepEvery || prefixes_.size() >= MaxPrefixes) {
         sweep(now);
     }
     for (const std::uint64_t key : sharedPrefixes(prompt)) {
@@ -43,7 +43,7 @@
             keysOf_[server].push_back(key);
         }
         uses.insert(uses.begin(), Use{server, now});
-        if (uses.size() > MostUses) {
+        if (uses.size() > MaxUses) {
             uses.pop_back();
         }
     }
@@ -115,7 +115,7 @@
         }
     }
     std::erase_if(prefixes_, [](const auto &item) { return item.second.empty(); });
-    if (prefixes_.size() >= MostPrefixes) {
+    if (prefixes_.size() >= MaxPrefixes) {
         prefixes_.clear();
         keysOf_.clear();
     }
--- a/src/forward/PlaceLedger.cpp
+++ b/src/forward/PlaceLedger.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// The chance that one owner hears from a box that made so many asks: each goes to any owner.
-double chanceToHear(double asks, const FleetSize &fleet)
+// The probability that a given owner has a recent report of a box that made this many requests for
+// a place, each of which goes to a random owner.
+double reportProbability(double asks, const FleetSize &fleet)
 {
     const auto boxes = static_cast<double>(std::max<std::size_t>(fleet.boxes, 1));
     return boxes <= 1 ? 1 : 1 - std::pow(1 - 1 / boxes, std::max(asks, 1.0));
@@ -19,34 +20,34 @@
 double PlaceLedger::meanLoad(std::uint64_t service, const FleetSize &fleet,
                              kernel::Instant now) const
 {
-    const auto place = words_.find(service);
-    if (place == words_.end()) {
+    const auto place = reports_.find(service);
+    if (place == reports_.end()) {
         return 0;
     }
     double sum = 0;
     double weights = 0;
-    double words = 0;
-    for (const auto &[box, word] : place->second) {
-        if (now - word.at <= policy_.reportMaxAge) {
-            const double weight = 1 / chanceToHear(word.asks, fleet);
-            sum += weight * word.load;
+    double reports = 0;
+    for (const auto &[box, report] : place->second) {
+        if (now - report.reportedAt <= policy_.reportMaxAge) {
+            const double weight = 1 / reportProbability(report.asks, fleet);
+            sum += weight * report.load;
             weights += weight;
-            words += 1;
+            reports += 1;
         }
     }
-    if (words == 0) {
+    if (reports == 0) {
         return 0;
     }
-    // Few words may all be of busy boxes: they count as if idle boxes had spoken beside them.
-    const bool allSpoke = words >= static_cast<double>(fleet.boxes);
-    const double sure = allSpoke ? 1 : words / (words + policy_.idleReports);
+    // A few reports may all be of busy boxes, so reports of idle boxes are added.
+    const bool allReported = reports >= static_cast<double>(fleet.boxes);
+    const double confidence = allReported ? 1 : reports / (reports + policy_.idleReports);
     const auto engines = static_cast<double>(std::max<std::size_t>(fleet.engines, 1));
-    return sure * sum / weights * static_cast<double>(fleet.boxes) / engines;
+    return confidence * sum / weights * static_cast<double>(fleet.boxes) / engines;
 }
 
 PlaceAnswer PlaceLedger::ask(const PlaceAsk &ask, const FleetSize &fleet, kernel::Instant now)
 {
-    words_[ask.service][ask.box] = {ask.boxLoad, ask.boxAsks, now};
+    reports_[ask.service][ask.box] = {ask.boxLoad, ask.boxAsks, now};
     Places &places = engines_[ask.engine];
     const auto load = static_cast<std::uint32_t>(places.size());
     if (places.contains(ask.request)) {
@@ -75,9 +76,9 @@
         std::erase_if(places, [now](const auto &item) { return now >= item.second; });
     }
     std::erase_if(engines_, [](const auto &item) { return item.second.empty(); });
-    for (auto &[service, boxes] : words_) {
+    for (auto &[service, boxes] : reports_) {
         std::erase_if(boxes, [&](const auto &item) {
-            return now - item.second.at > policy_.reportMaxAge;
+            return now - item.second.reportedAt > policy_.reportMaxAge;
         });
     }
 }
--- a/src/forward/RecentCount.h
+++ b/src/forward/RecentCount.h
@@ -1,6 +1,6 @@
 /** \file
- * How many events fell into the last span of time, fading instead of forgetting at an edge: one
- * number in place of a list of times.
+ * An approximate count of the events in the last span of time. It decays exponentially, so one
+ * number replaces a list of times.
  */
 #pragma once
 
@@ -8,20 +8,20 @@
 
 namespace limereel::forward {
 
-/** A fading count. Pure: time is handed in. */
+/** A decaying count. Deterministic: callers pass in the current time. */
 class RecentCount
 {
 public:
-    /** Events count for about \a span. */
+    /** \param span about how long an event counts. */
     explicit RecentCount(kernel::Duration span)
         : span_(span)
     {
     }
 
-    /** Counts one event. \return the count with it. */
+    /** Counts one event. \return the new count. */
     double add(kernel::Instant now);
 
-    /** The count. */
+    /** The count at \a now. */
     double value(kernel::Instant now) const;
 
 private:
--- a/src/forward/RequestIdentity.cpp
+++ b/src/forward/RequestIdentity.cpp
@@ -22,7 +22,7 @@
     return word;
 }
 
-// The length goes first, so that text can't move from one part into the next unseen.
+// The length comes first, so that moving text from one part to the next changes the hash.
 void hashPart(crypto_generichash_state &state, std::string_view part)
 {
     const std::uint64_t length = part.size();
--- a/src/forward/RequestIdentity.h
+++ b/src/forward/RequestIdentity.h
@@ -1,10 +1,10 @@
 /** \file
- * By what a request is known again when it comes once more, at any box and under another id: its
- * organisation, method, host, target and body. How the body was framed and the order of the fields
+ * Recognises a request that is sent again, through any box and under another request id, by its
+ * organisation, method, host, target and body. The framing of the body and the order of the fields
  * don't matter.
  *
- * The organisation is part of it, so nobody can make a request of another organisation look like
- * one of theirs. It is the same on every box and in every version.
+ * The organisation is part of the identity, so nobody can make a request look like one of another
+ * organisation. The identity is the same on every box and in every version.
  */
 #pragma once
 
@@ -16,41 +16,41 @@
 
 namespace limereel::forward {
 
-/** What the identity is worked out from. */
+/** The input from which the identity is computed. */
 struct IdentityParts
 {
-    std::string_view organisation; ///< Empty where callers are anonymous.
+    std::string_view organisation; ///< Empty for anonymous callers.
     std::string_view method;
     std::string_view host;
     std::string_view target; ///< Path and query.
     std::string_view body;
 };
 
-/** A request that may come again. */
+/** Identifies a request across repeats. */
 struct RequestIdentity
 {
-    std::uint64_t shape = 0; ///< Of all but the body's content: quick to work out.
-    std::uint64_t high = 0;  ///< With low: 128 bits of BLAKE2b over everything.
+    std::uint64_t shape = 0; ///< Hash of all but the body's content; cheap to compute.
+    std::uint64_t high = 0;  ///< With \c low: 128 bits of BLAKE2b over everything.
     std::uint64_t low = 0;
 
     auto operator<=>(const RequestIdentity &) const = default;
 };
 
-/** The identity's shape alone, which spares most requests the hash of their body. */
+/** The shape alone, which saves hashing the body of most requests. */
 std::uint64_t shapeOf(const IdentityParts &parts);
 
-/** The whole identity. Takes some 0.1 ms for a body of 70 kB. */
+/** The complete identity. Takes about 0.1 ms for a body of 70 kB. */
 RequestIdentity identityOf(const IdentityParts &parts);
 
-/** 48 hexadecimal digits. */
+/** The identity as 48 hexadecimal digits. */
 std::string text(const RequestIdentity &identity);
 
-/** What text() gave, read back; nothing if \a text is none. */
+/** Parses what text() returned; nothing if \a text is not an identity. */
 std::optional<RequestIdentity> identityFrom(std::string_view text);
 
 } // namespace limereel::forward
 
-/** For hash tables. */
+/** The hash for unordered containers. */
 template <>
 struct std::hash<limereel::forward::RequestIdentity>
 {
--- a/src/forward/ServerChoice.cpp
+++ b/src/forward/ServerChoice.cpp
@@ -9,23 +9,23 @@
 namespace {
 
 constexpr double LoadBeyondMean = 3;
-// The bound that is kept leaves room for what other boxes do at the same moment.
-constexpr double BoundPart = 0.85;
+// Reduces the bound, to allow for what other boxes send at the same moment.
+constexpr double BoundMargin = 0.85;
 constexpr double OtherHallCost = 0.25;
 
 } // namespace
 
 const ServerRecord *ServerChoice::idlest(std::mt19937_64 &random) const
 {
-    const ServerRecord *untracked = idlestUnused(random);
-    const ServerRecord *tracked = idlestNoted(random);
+    const ServerRecord *untracked = idlestUntracked(random);
+    const ServerRecord *tracked = idlestTracked(random);
     if (untracked == nullptr || tracked == nullptr) {
         return untracked == nullptr ? tracked : untracked;
     }
     return cost(*tracked) < cost(*untracked) ? tracked : untracked;
 }
 
-const ServerRecord *ServerChoice::idlestNoted(std::mt19937_64 &random) const
+const ServerRecord *ServerChoice::idlestTracked(std::mt19937_64 &random) const
 {
     const auto &tracked = usable_.tracked();
     if (tracked.empty()) {
@@ -44,7 +44,7 @@
     return best;
 }
 
-const ServerRecord *ServerChoice::idlestUnused(std::mt19937_64 &random) const
+const ServerRecord *ServerChoice::idlestUntracked(std::mt19937_64 &random) const
 {
     if (usable_.untracked() == 0) {
         return nullptr;
@@ -61,9 +61,9 @@
 double ServerChoice::cost(const ServerRecord &record) const
 {
     const double places = std::max<std::uint32_t>(1, record.server.slots);
-    const bool near = record.server.hall == policy_.hall;
+    const bool inOwnHall = record.server.hall == policy_.hall;
     return record.load(view_.now) / places + record.errorShare(view_.now)
-           + (near ? 0 : OtherHallCost);
+           + (inOwnHall ? 0 : OtherHallCost);
 }
 
 bool ServerChoice::full(const ServerRecord &record) const
@@ -77,23 +77,23 @@
     if (service == nullptr || usable_.size() == 0) {
         return nullptr;
     }
-    const double bound = policy_.loadMultiple * usable_.meanLoad() * BoundPart + LoadBeyondMean;
-    const auto hasRoom = [&](const ServerRecord &record) {
+    const double bound = policy_.loadMultiple * usable_.meanLoad() * BoundMargin + LoadBeyondMean;
+    const auto belowBound = [&](const ServerRecord &record) {
         return !full(record) && record.load(view_.now) <= bound;
     };
     CandidateOrder order(service->table, sharedPartsKey(*requirements_.prompt),
                          [this](const ServerRecord &record) { return usable_.contains(record); });
-    std::vector<const ServerRecord *> passed;
-    const ServerRecord *first = nullptr; // That has room.
+    std::vector<const ServerRecord *> skipped;
+    const ServerRecord *first = nullptr; // The first one below the bound.
     while (const ServerRecord *record = order.next()) {
-        if (hasRoom(*record)) {
+        if (belowBound(*record)) {
             first = first == nullptr ? record : first;
             if (holdsAll(*record)) {
                 return record;
             }
         }
-        passed.push_back(record);
-        if (first != nullptr && passed.size() >= policy_.nearHolders) {
+        skipped.push_back(record);
+        if (first != nullptr && skipped.size() >= policy_.nearHolders) {
             return first;
         }
     }
@@ -101,11 +101,12 @@
         return first;
     }
     const auto load = [this](const ServerRecord *record) { return record->load(view_.now); };
-    return passed.empty() ? nullptr : *std::ranges::min_element(passed, {}, load);
+    return skipped.empty() ? nullptr : *std::ranges::min_element(skipped, {}, load);
 }
 
-// For parts that everybody wants, the next in the order would only be the next to be overrun. Of
-// two by chance the less loaded one, as far as this box knows (Mitzenmacher, 2001).
+// If many boxes want the same parts, the next server in the order would be the next to be
+// overloaded. So two are drawn at random and the one with less load, as far as this box knows, is
+// taken (Mitzenmacher, 2001).
 const ServerRecord *ServerChoice::spread(std::mt19937_64 &random) const
 {
     ServerRequirements others = requirements_;
--- a/src/forward/ServerChoice.h
+++ b/src/forward/ServerChoice.h
@@ -1,10 +1,10 @@
 /** \file
- * The choice of one of the usable servers for a request.
+ * Chooses one of the usable servers for a request.
  *
- * Prompts go to the first server in the order of their shared parts, which is the same on every
- * box, or to one close behind it that holds them already; a server whose load passes a multiple of
- * the mean is passed over (bounded loads: Mirrokni, Thorup and Zadimoghaddam, 2016). Other requests
- * go to the idlest server, those of the own hall first.
+ * A prompt goes to the first server in the order of its shared parts, which is the same on every
+ * box, or to one close behind it that already holds the parts. A server whose load exceeds a
+ * multiple of the mean is skipped (bounded loads: Mirrokni, Thorup and Zadimoghaddam, 2016). Other
+ * requests go to the least loaded server, preferably in the box's own hall.
  */
 #pragma once
 
@@ -16,11 +16,11 @@
 
 namespace limereel::forward {
 
-/** The choice. */
+/** One choice. */
 class ServerChoice
 {
 public:
-    /** Whether a server is known to hold all shared parts of the wish's prompt. */
+    /** Returns whether a server is known to hold all shared parts of the prompt. */
     using HoldsAll = std::function<bool(const ServerRecord &record)>;
 
     ServerChoice(const ServerView &view, const ServerPolicy &policy,
@@ -32,18 +32,18 @@
     {
     }
 
-    /** The server with the least load for its places; nullptr if none may be used. */
+    /** The server with the least load relative to its slots; nullptr if none may be used. */
     const ServerRecord *idlest(std::mt19937_64 &random) const;
 
-    /** The server for the wish's prompt, which has parts. */
+    /** The server for the prompt, which has parts; nullptr if none may be used. */
     const ServerRecord *forPrompt(const HoldsAll &holdsAll) const;
 
-    /** One of those that aren't full: of two by chance the less loaded one. */
+    /** The less loaded of two random servers that aren't full; nullptr if none may be used. */
     const ServerRecord *spread(std::mt19937_64 &random) const;
 
 private:
-    const ServerRecord *idlestNoted(std::mt19937_64 &random) const;
-    const ServerRecord *idlestUnused(std::mt19937_64 &random) const;
+    const ServerRecord *idlestTracked(std::mt19937_64 &random) const;
+    const ServerRecord *idlestUntracked(std::mt19937_64 &random) const;
     double cost(const ServerRecord &record) const;
     bool full(const ServerRecord &record) const;
 
--- a/src/forward/ServerHealth.cpp
+++ b/src/forward/ServerHealth.cpp
@@ -32,8 +32,8 @@
 bool ServerHealth::silent(const ServerRecord &record, kernel::Instant now) const
 {
     const kernel::Instant quietSince = std::max(record.lastHeard, record.dueSince);
-    const kernel::Duration most = record.server.engine ? policy_.engineSilence : policy_.silence;
-    return record.own > 0 && silence(quietSince, now) > most;
+    const kernel::Duration limit = record.server.engine ? policy_.engineSilence : policy_.silence;
+    return record.own > 0 && silence(quietSince, now) > limit;
 }
 
 bool ServerHealth::isSuspected(const ServerRecord &record, kernel::Instant now) const
@@ -41,7 +41,7 @@
     if (now < record.suspectedUntil) {
         return true;
     }
-    // After its pause a doubted server gets one request at a time until one succeeds.
+    // After the pause, a suspected server gets one request at a time until one succeeds.
     if (record.failuresInARow > 0 && record.own > 0) {
         return true;
     }
@@ -66,8 +66,8 @@
     if (failure == Failure::Error || failure == Failure::Lost) {
         return;
     }
-    constexpr std::uint32_t MostDoublings = 8;
-    const std::uint32_t doublings = std::min(record.failuresInARow, MostDoublings);
+    constexpr std::uint32_t MaxDoublings = 8;
+    const std::uint32_t doublings = std::min(record.failuresInARow, MaxDoublings);
     ++record.failuresInARow;
     const kernel::Duration pause = policy_.firstSuspicion * (1U << doublings);
     record.suspectedUntil = now + std::min(pause, policy_.maxSuspicion);
--- a/src/forward/ServerHealth.h
+++ b/src/forward/ServerHealth.h
@@ -1,8 +1,8 @@
 /** \file
- * Which backend servers are doubted, from the requests that they were sent.
+ * Failure detection for backend servers, based on the requests that they were sent.
  *
- * A doubted server gets single requests again after a pause that doubles. Time in which this
- * process stood still counts as no silence of others: their bytes lay unread in its sockets.
+ * A suspected server gets single requests again after a pause that doubles with each failure. A
+ * stall of this process doesn't count as silence of servers: their bytes lay unread in its sockets.
  */
 #pragma once
 
@@ -14,20 +14,20 @@
 
 namespace limereel::forward {
 
-/** How an attempt at a backend server went wrong. */
+/** How an attempt at a backend server failed. */
 enum class Failure : std::uint8_t {
     Unreachable, ///< A connection was refused.
-    NoResponse,  ///< Nothing came back while connecting.
-    Lost,        ///< The connection ended, or bytes came that form no answer.
-    Silent,      ///< No answer in the time that it should take.
-    Error,       ///< It answered that it failed.
-    Full         ///< It rejected the request as it has no place.
+    NoResponse,  ///< A connection attempt got no response.
+    Lost,        ///< The connection ended, or the bytes received are no valid answer.
+    Silent,      ///< No answer within the time allowed.
+    Error,       ///< It answered with a failure.
+    Full         ///< It rejected the request, as all its slots are taken.
 };
 
 /** The name of \a failure for logs and counters. */
 const char *text(Failure failure);
 
-/** The judgement of one box. Pure: time is handed in. */
+/** The failure detector of one box. Deterministic: callers pass in the current time. */
 class ServerHealth
 {
 public:
@@ -36,24 +36,25 @@
     {
     }
 
-    /** Whether nothing has come from the server for too long while answers are due. */
+    /** Whether the server has sent nothing for too long while answers are pending. */
     bool silent(const ServerRecord &record, kernel::Instant now) const;
 
-    /** Whether the server gets nothing for now, as far as others can be had. */
+    /** Whether the server is suspected: it gets no requests as long as others are available. */
     bool isSuspected(const ServerRecord &record, kernel::Instant now) const;
 
-    /** What the server says of its hall. */
+    /** What the server's state indicates about the network path to its hall. */
     ServerSign signOf(const ServerRecord &record, kernel::Instant now) const;
 
     void noteFailure(ServerRecord &record, Failure failure, kernel::Instant now) const;
 
-    /** How long nothing was heard that was last heard at \a since, standstills left out. */
+    /** The time since \a since, when bytes last arrived, less the stalls of this process. */
     kernel::Duration silence(kernel::Instant since, kernel::Instant now) const;
 
-    /** What of the time after \a since this box stood still, as far as noteAwake() wasn't told. */
+    /** How long this process has been stalled after \a since, not counting stalls that ended before
+     * the last call of noteAwake(). */
     kernel::Duration stalledFor(kernel::Instant since, kernel::Instant now) const;
 
-    /** The box runs. */
+    /** Records that this process is running. */
     void noteAwake(kernel::Instant now) { awakeAt_ = now; }
 
 private:
--- a/src/forward/ServerIndex.cpp
+++ b/src/forward/ServerIndex.cpp
@@ -97,7 +97,7 @@
     }
 }
 
-// Halls are few and don't go; their numbers are kept.
+// Halls are few and numbers are never reused.
 HallNumber ServerIndex::numberOf(const std::string &hall)
 {
     const auto place = std::ranges::find(halls_, hall);
@@ -120,9 +120,9 @@
     if (service.byHall.size() <= record.hall) {
         service.byHall.resize(record.hall + 1);
     }
-    auto &working = service.byHall[record.hall];
-    record.place = working.size();
-    working.push_back(&record);
+    auto &accepting = service.byHall[record.hall];
+    record.place = accepting.size();
+    accepting.push_back(&record);
 }
 
 void ServerIndex::unlink(ServerRecord &record)
@@ -136,11 +136,11 @@
     if (record.server.leaving) {
         return;
     }
-    // The last one takes its place.
-    auto &working = service.byHall[record.hall];
-    working[record.place] = working.back();
-    working[record.place]->place = record.place;
-    working.pop_back();
+    // The last record moves to the free position.
+    auto &accepting = service.byHall[record.hall];
+    accepting[record.place] = accepting.back();
+    accepting[record.place]->place = record.place;
+    accepting.pop_back();
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerIndex.h
+++ b/src/forward/ServerIndex.h
@@ -1,7 +1,7 @@
 /** \file
- * The records of all listed servers, found by what a choice asks for: id, hash, service and hall,
- * and those on which something is noted. Nothing here takes notably longer on a large fleet than on
- * a small one.
+ * The records of all listed servers, found by what a choice needs: by id, hash, service and hall,
+ * and those that are tracked. No operation takes notably longer for a large fleet than for a small
+ * one.
  */
 #pragma once
 
@@ -19,8 +19,9 @@
 /** The servers of one service. */
 struct ServiceServers
 {
-    RendezvousTable table;                           ///< All of them, leaving ones included.
-    std::vector<std::vector<ServerRecord *>> byHall; ///< By hall's number; not leaving.
+    RendezvousTable table; ///< All of them, including those that are leaving.
+    /** By hall number, without those that are leaving. */
+    std::vector<std::vector<ServerRecord *>> byHall;
     std::uint32_t own = 0; ///< Requests of this box that run at any of them.
 };
 
@@ -32,7 +33,7 @@
     ServerIndex(const ServerIndex &) = delete;
     ServerIndex &operator=(const ServerIndex &) = delete;
 
-    /** Takes in a server, new or changed. \param since when it was listed, if it is new. */
+    /** Adds or updates a server. \param since when it was listed, if it is new. */
     void put(const ListedServer &server, kernel::Instant since);
     void remove(const std::string &id);
 
@@ -52,16 +53,16 @@
     /** The names of the halls, by their numbers. */
     const std::vector<std::string> &halls() const { return halls_; }
 
-    /** Something stands on \a record from now on. */
+    /** Marks \a record as tracked: it may hold more than the listing. */
     void track(ServerRecord &record);
 
-    /** The servers on which something may stand. */
+    /** The tracked servers, whose records may hold more than the listing. */
     std::span<ServerRecord *const> tracked() const { return tracked_; }
 
-    /** Takes those from among the noted ones on which nothing stands any more. */
+    /** Stops tracking the records that hold nothing beyond the listing any more. */
     void dropUntracked(kernel::Instant now);
 
-    /** A request of this box begins or ends at \a record. */
+    /** Records that a request of this box begins or ends at \a record. */
     void beginRequest(ServerRecord &record);
     void endRequest(ServerRecord &record);
 
--- a/src/forward/ServerOrder.cpp
+++ b/src/forward/ServerOrder.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A choice seldom looks further than at three holders, or at a few full servers.
+// A choice seldom looks at more than three holders or a few full servers.
 constexpr std::size_t FirstBatch = 16;
-// Where all servers are full all are looked at, in a few passes.
+// If all servers are full, all of them are visited, in a few passes.
 constexpr std::size_t BatchGrowth = 16;
 
 } // namespace
@@ -31,7 +31,7 @@
     firstKey_.reset();
 }
 
-// The last one takes its row.
+// The last record moves to the free row.
 void RendezvousTable::erase(const ServerRecord &record)
 {
     const std::size_t row = record.row;
@@ -59,8 +59,8 @@
     const auto before = [](const WeighedServer &left, const WeighedServer &right) {
         return left.before(right);
     };
-    std::vector<WeighedServer> found; // A heap with the worst on top.
-    std::uint64_t least = 0;          // Less weight is never in time.
+    std::vector<WeighedServer> found; // A heap with the last one of the order on top.
+    std::uint64_t least = 0;          // Servers with less weight can't be among the first \a count.
     for (std::size_t row = 0; row < hashes_.size(); ++row) {
         const std::uint64_t weight = membership::rendezvousWeight(key, hashes_[row]);
         if (weight < least || weight > last.weight) {
--- a/src/forward/ServerOrder.h
+++ b/src/forward/ServerOrder.h
@@ -1,12 +1,13 @@
 /** \file
- * The servers of a service in the order in which a prompt asks for them: rendezvous hashing over
- * all of them, so that a server that comes or goes moves only its own share of the prompts.
+ * The servers of a service in the order in which a prompt prefers them: rendezvous hashing over all
+ * of them, so that adding or removing a server moves only its own share of the prompts.
  *
- * The hashes lie side by side and the first few of the order are found in one pass, without sorting
- * the rest: some 2 ns a server on a whole core, once a request, where sorting ten thousand of them
- * took 12 ms each time. Weighing only the servers that follow a prompt's place in a ring of hashes
- * would take no longer on a larger fleet, but each server that comes or goes would move twice the
- * prompts, its own share and that of the one that it pushes out of sight.
+ * The hashes are stored contiguously, and the first few servers of the order are found in one pass
+ * without sorting the others. This takes about 2 ns a server on a whole core, once a request;
+ * sorting ten thousand of them took 12 ms each time. Weighing only the servers that follow a
+ * prompt's position on a ring of hashes would take a constant time, but each server added or
+ * removed would move twice as many prompts: its own share and that of the server that it displaces
+ * from the candidates.
  */
 #pragma once
 
@@ -19,7 +20,7 @@
 
 namespace limereel::forward {
 
-/** A server's weight for a key. */
+/** A server and its weight for a key. */
 struct WeighedServer
 {
     std::uint64_t weight = 0;
@@ -36,28 +37,30 @@
 public:
     using Wanted = std::function<bool(const ServerRecord &record)>;
 
-    /** Adds \a record and notes its row there. */
+    /** Adds \a record and stores its row there. */
     void insert(ServerRecord &record);
     void erase(const ServerRecord &record);
 
     std::size_t size() const { return hashes_.size(); }
 
-    /** The first of the whole order for \a key, in order; some that a choice seldom looks beyond.
-     * Kept for the next call, since a request asks several times with the same key. */
+    /** The first servers of the whole order for \a key, in order; a choice seldom needs more. The
+     * result is kept for the next call, since a request asks several times with the same key. */
     const std::vector<WeighedServer> &first(std::uint64_t key) const;
 
-    /** The first \a count of those that are wanted after \a last, in order. */
+    /** The first \a count servers after \a last for which \a wanted returns true, in order. */
     std::vector<WeighedServer> after(std::uint64_t key, const WeighedServer &last,
                                      std::size_t count, const Wanted &wanted) const;
 
 private:
-    std::vector<std::uint64_t> hashes_; ///< Of the records, in rows.
+    std::vector<std::uint64_t> hashes_; ///< Hashes of the records, by row.
     std::vector<ServerRecord *> records_;
-    mutable std::optional<std::uint64_t> firstKey_; ///< Whose order first_ is; nothing: none.
+    /** The key to which \c first_ belongs; nothing: none. */
+    mutable std::optional<std::uint64_t> firstKey_;
     mutable std::vector<WeighedServer> first_;
 };
 
-/** The order of the wanted servers of a table for one key, worked out as far as it is asked for. */
+/** The servers of a table for which \c wanted returns true, in the order for one key. The order is
+ * computed only as far as it is needed. */
 class CandidateOrder
 {
 public:
@@ -70,9 +73,10 @@
     const RendezvousTable &table_;
     std::uint64_t key_;
     RendezvousTable::Wanted wanted_;
-    std::vector<WeighedServer> found_; ///< The batch that is given out, up to next_.
+    /** The current batch; those before next_ were already returned. */
+    std::vector<WeighedServer> found_;
     std::size_t next_ = 0;
-    std::size_t batch_; ///< How many were last looked for.
+    std::size_t batch_; ///< Size of the last batch requested.
 };
 
 } // namespace limereel::forward
--- a/src/forward/ServerPolicy.h
+++ b/src/forward/ServerPolicy.h
@@ -1,5 +1,5 @@
 /** \file
- * The settings by which a box judges and chooses backend servers.
+ * The settings for assessing and choosing backend servers.
  */
 #pragma once
 
@@ -10,34 +10,41 @@
 
 namespace limereel::forward {
 
-/** The settings. */
+/** The settings of one box. */
 struct ServerPolicy
 {
-    std::string hall;        ///< Of the box: its own hall is preferred.
-    double loadMultiple = 2; ///< Most load, as a multiple of the mean.
+    std::string hall;        ///< The box's hall, whose servers are preferred.
+    double loadMultiple = 2; ///< Upper bound on load, as a multiple of the mean.
     kernel::Duration partRemembered = 10s;
-    kernel::Duration newServerAge =
-            10s;                      ///< For so long, a new server is not thought to hold parts.
-    kernel::Duration silence = 250ms; ///< Of a plain server while an answer is due.
-    kernel::Duration engineSilence = 900ms; ///< Of an engine, which may be reading a long prompt.
+    /** For this long a new server is assumed to hold no prompt parts. */
+    kernel::Duration newServerAge = 10s;
+    /** Silence of a plain server with answers pending, after which it is suspected. */
+    kernel::Duration silence = 250ms;
+    /** The same for an engine, which may be reading a long prompt. */
+    kernel::Duration engineSilence = 900ms;
     kernel::Duration firstSuspicion = 250ms;
     kernel::Duration maxSuspicion = 4s;
-    /** A server that holds a prompt's parts goes before the first in the order if it stands within
-     * so many of it: the first may have come since they were read. Moves of parts cost 0.6 of a
-     * hundred of a day's worth less (0.031 -> 0.025, three days of two deployments), but fewer
-     * copies are left when servers crash (parts read again 0.034 -> 0.038). Further down the order
-     * a box that has forgotten where the parts lie wouldn't look for them. */
+    /** A server that holds a prompt's parts is preferred to the first server in the prompt's order
+     * if it is among this many at the head of that order: the first one may have been added after
+     * the parts were read. This lowers the cost of moving parts from 0.031 to 0.025 of a day's
+     * total value (three days of two deployments), but leaves fewer copies when servers crash
+     * (parts read again rose from 0.034 to 0.038). A box that no longer remembers where the parts
+     * are wouldn't look further down the order. */
     std::size_t nearHolders = 3;
-    std::size_t quietServers = 2;       ///< Of a hall; then the way to it is doubted.
-    kernel::Duration hallTrial = 500ms; ///< Between two requests to a doubted hall.
-    kernel::Duration maxBackoff = 600s; ///< What is kept of a longer rest that a server asks for.
-    /** For so long after one of them has asked for rest, the servers of a service get no more than
-     * they have places. */
+    /** Unresponsive servers of a hall after which the network path to it is suspected. */
+    std::size_t quietServers = 2;
+    /** Interval between two trial requests to a suspected hall. */
+    kernel::Duration hallTrial = 500ms;
+    kernel::Duration maxBackoff = 600s; ///< Upper bound on a backoff that a server asks for.
+    /** For this long after any server of a service asked for backoff, none of the service's servers
+     * gets more requests than it has slots. */
     kernel::Duration limitedToSlots = 60s;
-    kernel::Duration leavingKept = 600s;     ///< After a server that said that it leaves was last
-                                             ///< listed; a list that is behind may name it anew.
-    kernel::Duration stallThreshold = 150ms; ///< Longer between two calls of noteAwake(), made each
-                                             ///< 100 ms, is a standstill.
+    /** How long an announced shutdown is remembered after the server was last listed; an
+     * outdated list may name the server again. */
+    kernel::Duration leavingKept = 600s;
+    /** A longer gap between two calls of noteAwake(), which is called every 100 ms, counts as a
+     * stall of this process. */
+    kernel::Duration stallThreshold = 150ms;
 };
 
 } // namespace limereel::forward
--- a/src/forward/ServerRecord.cpp
+++ b/src/forward/ServerRecord.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-// What others run is told now and then; an old word fades to half in this time.
+// Half-life, in seconds, of the reported load of other boxes, which they report only now and then.
 constexpr double OthersHalfLife = 1.5;
-// A share of failed answers fades to half in this time, so that a server gets another chance.
+// Half-life, in seconds, of the share of failed answers; the decay gives a server another chance.
 constexpr double ErrorsHalfLife = 4;
 constexpr double ErrorWeight = 0.12;
-// Less than a hundredth of a request or of a share decides nothing; then a record is put away.
+// Smaller loads and shares don't affect any decision; they count as zero, so that the record can
+// return to its default state.
 constexpr double Negligible = 0.01;
-// After this, that connecting brought nothing back is no word on the server any more.
+// How long an unanswered connection attempt counts as evidence against the server.
 constexpr kernel::Duration NoResponseKept = 10s;
 
 double faded(double value, kernel::Duration age, double halfLife)
--- a/src/forward/ServerRequirements.h
+++ b/src/forward/ServerRequirements.h
@@ -1,5 +1,5 @@
 /** \file
- * What a request wants of a backend server, and the server that was chosen for it.
+ * What a request requires of a backend server, and the server that was chosen for it.
  */
 #pragma once
 
@@ -13,32 +13,38 @@
 
 namespace limereel::forward {
 
-/** What is wanted of a backend server. */
+/** What a request requires of a backend server. */
 struct ServerRequirements
 {
     std::string service;
-    const Prompt *prompt = nullptr;     ///< Set where parts of prompts are kept.
-    bool takeParts = false;             ///< Servers may take parts of prompts from each other.
-    std::vector<std::string> tried;     ///< Servers not to be chosen.
-    std::vector<std::string> barred;    ///< Servers that may not be sent more for now.
-    std::vector<std::string> regions;   ///< Where it may run; empty: anywhere.
-    std::vector<std::string> full;      ///< Servers over the bound, as their owners say.
-    std::vector<std::uint32_t> holders; ///< Servers that others know to hold its shared parts, by
-                                        ///< the last 32 bits of their hashes.
-    std::vector<std::uint32_t>
-            firstPartHolders;  ///< The same of those that hold only the first part.
-    bool holdersAsked = false; ///< The box that remembers for all where the parts lie was asked.
-    bool alone = false;        ///< It may end its server: the one with the least to lose.
-    bool spread = false; ///< Enough owners said so: any other server, not the next for all boxes.
+    const Prompt *prompt = nullptr; ///< Set if engines keep parts of prompts.
+    bool takeParts = false;         ///< Whether servers may fetch parts of prompts from each other.
+    std::vector<std::string> tried; ///< Ids of servers that were tried already.
+    std::vector<std::string> barred;  ///< Ids of servers that may get no more requests for now.
+    std::vector<std::string> regions; ///< Regions where it may run; empty: anywhere.
+    /** Ids of servers whose owners said that they are over the load bound. */
+    std::vector<std::string> full;
+    std::vector<std::uint32_t> holders; ///< Servers that other boxes know to hold its shared parts,
+                                        ///< by the last 32 bits of their hashes.
+    /** The same for servers that hold only the first part. */
+    std::vector<std::uint32_t> firstPartHolders;
+    /** Whether the box that keeps the HolderIndex for these parts was asked. */
+    bool holdersAsked = false;
+    bool alone = false;  ///< Whether it may crash its server: the least loaded one is chosen.
+    bool spread = false; ///< Whether enough owners said that their servers are full: a random other
+                         ///< server is chosen instead of the next in the order, which is the same
+                         ///< for all boxes.
 };
 
-/** The server for a request. */
+/** The server chosen for a request. */
 struct Choice
 {
     ListedServer server;
-    std::optional<kernel::Endpoint> takeFrom; ///< A server that should hold more of the prompt.
-    std::size_t held = 0; ///< Shared prefixes of the prompt that the server should hold.
-    bool trial = false;   ///< The server or its hall is doubted: kept connections may be dead.
+    std::optional<kernel::Endpoint> takeFrom; ///< Server from which it may fetch parts, as it
+                                              ///< should hold more of the prompt.
+    std::size_t held = 0; ///< Number of the prompt's shared prefixes that the server should hold.
+    bool trial = false;   ///< Whether the server or its hall is suspected, so that kept connections
+                          ///< may be dead.
 };
 
 } // namespace limereel::forward
--- a/src/forward/ServerTable.cpp
+++ b/src/forward/ServerTable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool hinted(const ServerRecord &record, const ServerRequirements &requirements)
+bool namedAsHolder(const ServerRecord &record, const ServerRequirements &requirements)
 {
     const auto shortened = static_cast<std::uint32_t>(record.hash);
     return std::ranges::find(requirements.holders, shortened) != requirements.holders.end();
@@ -24,19 +24,20 @@
 void ServerTable::put(const ListedServer &server, kernel::Instant since)
 {
     index_.put(known(server), since);
-    setRest(*index_.find(server.id));
+    setBackoff(*index_.find(server.id));
 }
 
 ListedServer ServerTable::known(ListedServer listed) const
 {
-    listed.leaving = listed.leaving || leaving_.contains(listed.hash());
+    listed.leaving = listed.leaving || leavingServers_.contains(listed.hash());
     return listed;
 }
 
-// By its life: it may have been listed no more for a while, or have taken another's place.
-void ServerTable::setRest(ServerRecord &record)
+// Looked up by incarnation: the server may have been unlisted for a while, or have replaced another
+// one.
+void ServerTable::setBackoff(ServerRecord &record)
 {
-    record.backoffUntil = rests_.until(record.hash);
+    record.backoffUntil = backoffs_.until(record.hash);
     if (record.backoffUntil != kernel::Instant()) {
         index_.track(record);
     }
@@ -86,7 +87,7 @@
     return record == nullptr ? std::nullopt : std::optional(record->server);
 }
 
-// Where the request, or parts of its prompt, may go.
+// Halls to which the request, or parts of its prompt, may be sent.
 HallSet ServerTable::allowedHalls(const ServerRequirements &requirements) const
 {
     HallSet allowed;
@@ -140,7 +141,7 @@
 
 void ServerTable::noteAwake(kernel::Instant now)
 {
-    // All marks move alike, so that what was later than another stays so.
+    // All times are shifted alike, so that their order stays the same.
     const auto stalledFor = [&](kernel::Instant since) { return health_.stalledFor(since, now); };
     if (stalledFor({}) > kernel::Duration(0)) {
         for (ServerRecord *record : index_.tracked()) {
@@ -151,10 +152,12 @@
         halls_.shiftTimes(stalledFor);
     }
     health_.noteAwake(now);
-    rests_.expire(now);
-    std::erase_if(restAskedAt_,
+    backoffs_.expire(now);
+    std::erase_if(backoffAskedAt_,
                   [&](const auto &asked) { return now - asked.second >= policy_.limitedToSlots; });
-    leaving_.expire(now, [this](std::uint64_t life) { return index_.findHash(life) != nullptr; });
+    leavingServers_.expire(now, [this](std::uint64_t incarnationKey) {
+        return index_.findHash(incarnationKey) != nullptr;
+    });
     index_.dropUntracked(now);
 }
 
@@ -179,7 +182,7 @@
 bool ServerTable::holdsAll(const ServerRecord &record, const ServerRequirements &requirements,
                            kernel::Instant now) const
 {
-    return hinted(record, requirements)
+    return namedAsHolder(record, requirements)
            || parts_.depth(*requirements.prompt, record.server.id, now)
                       >= sharedPrefixes(*requirements.prompt).size();
 }
@@ -221,16 +224,16 @@
     if (requirements.prompt == nullptr || chosen == nullptr) {
         return;
     }
-    choice.held = hinted(*chosen, requirements)
+    choice.held = namedAsHolder(*chosen, requirements)
                           ? sharedPrefixes(*requirements.prompt).size()
                           : parts_.depth(*requirements.prompt, chosen->server.id, now);
     choice.takeFrom = requirements.takeParts ? sourceFor(*chosen, requirements, choice.held, now)
                                              : std::nullopt;
 }
 
-// Another server from which \a target may take what it lacks of the prompt: one that is known to
-// hold it, else the one to which the prompt would go without \a target and without those that
-// came lately, since the list was another one when the parts were read.
+// Finds another server from which \a target may fetch the prompt parts that it lacks: one that is
+// known to hold them, or else the one that would be chosen without \a target and without servers
+// added recently, since those weren't listed when the parts were read.
 std::optional<kernel::Endpoint> ServerTable::sourceFor(const ServerRecord &target,
                                                        const ServerRequirements &requirements,
                                                        std::size_t held, kernel::Instant now) const
@@ -240,37 +243,38 @@
         return std::nullopt;
     }
     const HallSet allowed = allowedHalls(requirements);
-    const auto mayGive = [&](const ServerRecord &record) {
+    const auto mayBeSource = [&](const ServerRecord &record) {
         const bool tried =
                 std::ranges::find(requirements.tried, record.server.id) != requirements.tried.end();
         return record.server.service == requirements.service && allowed[record.hall]
                && &record != &target && !tried && !health_.isSuspected(record, now);
     };
-    if (const ServerRecord *holder = namedGiver(requirements.holders, mayGive)) {
+    if (const ServerRecord *holder = namedSource(requirements.holders, mayBeSource)) {
         return holder->server.address;
     }
     for (const std::string &id : parts_.holders(prompt, held, now)) {
         const ServerRecord *record = index_.find(id);
-        if (record != nullptr && mayGive(*record)) {
+        if (record != nullptr && mayBeSource(*record)) {
             return record->server.address;
         }
     }
-    // Better than a guess: parts that many prompts begin with lie at engines that never had this
-    // one.
-    const ServerRecord *beginner =
-            held == 0 ? namedGiver(requirements.firstPartHolders, mayGive) : nullptr;
-    const ServerRecord *giver =
-            beginner != nullptr ? beginner : guessedGiver(requirements, mayGive, now);
-    return giver == nullptr ? std::nullopt : std::optional(giver->server.address);
+    // A server known to hold the first part is better than a guess: many prompts begin with that
+    // part, so it is also at engines that never had this prompt.
+    const ServerRecord *firstPartHolder =
+            held == 0 ? namedSource(requirements.firstPartHolders, mayBeSource) : nullptr;
+    const ServerRecord *source = firstPartHolder != nullptr
+                                         ? firstPartHolder
+                                         : guessedSource(requirements, mayBeSource, now);
+    return source == nullptr ? std::nullopt : std::optional(source->server.address);
 }
 
 const ServerRecord *
-ServerTable::namedGiver(const std::vector<std::uint32_t> &named,
-                        const std::function<bool(const ServerRecord &)> &mayGive) const
+ServerTable::namedSource(const std::vector<std::uint32_t> &named,
+                         const std::function<bool(const ServerRecord &)> &mayBeSource) const
 {
     for (const std::uint32_t hash : named) {
         const ServerRecord *record = index_.findShort(hash);
-        if (record != nullptr && mayGive(*record)) {
+        if (record != nullptr && mayBeSource(*record)) {
             return record;
         }
     }
@@ -278,20 +282,20 @@
 }
 
 const ServerRecord *
-ServerTable::guessedGiver(const ServerRequirements &requirements,
-                          const std::function<bool(const ServerRecord &)> &mayGive,
-                          kernel::Instant now) const
+ServerTable::guessedSource(const ServerRequirements &requirements,
+                           const std::function<bool(const ServerRecord &)> &mayBeSource,
+                           kernel::Instant now) const
 {
     const ServiceServers *service = index_.service(requirements.service);
     if (service == nullptr) {
         return nullptr;
     }
     const std::uint64_t key = sharedPartsKey(*requirements.prompt);
-    CandidateOrder old(service->table, key, [&](const ServerRecord &record) {
-        return now - record.since >= policy_.newServerAge && mayGive(record);
+    CandidateOrder established(service->table, key, [&](const ServerRecord &record) {
+        return now - record.since >= policy_.newServerAge && mayBeSource(record);
     });
-    const ServerRecord *giver = old.next();
-    return giver != nullptr ? giver : CandidateOrder(service->table, key, mayGive).next();
+    const ServerRecord *source = established.next();
+    return source != nullptr ? source : CandidateOrder(service->table, key, mayBeSource).next();
 }
 
 std::optional<ListedServer>
@@ -395,16 +399,16 @@
 void ServerTable::noteBackoff(const ListedServer &server, kernel::Duration asked,
                               kernel::Instant now)
 {
-    rests_.note(server.hash(), asked, now);
-    restAskedAt_[server.service] = now;
+    backoffs_.note(server.hash(), asked, now);
+    backoffAskedAt_[server.service] = now;
     if (ServerRecord *record = index_.find(server.id)) {
-        setRest(*record);
+        setBackoff(*record);
     }
 }
 
 bool ServerTable::noteLeaving(const ListedServer &server, kernel::Instant now)
 {
-    const bool news = leaving_.note(server.hash(), now);
+    const bool news = leavingServers_.note(server.hash(), now);
     const ServerRecord *record = index_.find(server.id);
     if (news && record != nullptr) {
         index_.put(known(record->server), record->since);
@@ -442,8 +446,8 @@
 
 bool ServerTable::limitedToSlots(const std::string &service, kernel::Instant now) const
 {
-    const auto place = restAskedAt_.find(service);
-    return place != restAskedAt_.end() && now - place->second < policy_.limitedToSlots;
+    const auto place = backoffAskedAt_.find(service);
+    return place != backoffAskedAt_.end() && now - place->second < policy_.limitedToSlots;
 }
 
 kernel::Duration ServerTable::fullLeft(const std::string &id, kernel::Instant now) const
--- a/src/forward/ServerTable.h
+++ b/src/forward/ServerTable.h
@@ -1,18 +1,20 @@
 /** \file
- * What a box knows of the backend servers: which are listed, how loaded and how healthy each is,
- * and which prompt parts it has been sent; and from that the choice of one for a request.
+ * What a box knows of the backend servers: which are listed, the load and health of each, and which
+ * prompt parts it has been sent. Based on that, it chooses a server for a request.
  *
- * Health comes from the requests themselves, since probes are dear: failures to connect, lost
- * answers, failed answers, and silence while answers are due (ServerHealth). Where several servers
- * of a hall say nothing and none of it was heard since, the way to the hall is doubted rather than
- * each server in turn (HallReachability). The choice itself is ServerChoice's.
+ * Health is inferred from the requests themselves, since probes are expensive: from failed
+ * connection attempts, lost answers, failed answers, and silence while answers are pending
+ * (ServerHealth). If several servers of a hall are unresponsive and no bytes came from any of its
+ * servers since, the network path to the hall is suspected instead of each server
+ * (HallReachability). ServerChoice makes the choice itself.
  *
- * Where a server is not known to hold a prompt's parts, the choice names another one that it may
- * take them from, which is cheaper than reading them again.
+ * If the chosen server isn't known to hold a prompt's parts, the choice names another one from
+ * which it may fetch them, which is cheaper than reading them again.
  *
- * A choice looks at the servers that this box used lately and weighs the hashes of the others: 2 us
- * for a plain service at any size, 12 us for an engine among a thousand servers and 30 us among ten
- * thousand, on a whole core (limereel-bench --only servers). A walk over all took 0.9 ms and 12 ms.
+ * A choice visits the servers that this box used recently and computes a weight from the hash of
+ * each other one: 2 us for a plain service of any size, 12 us for an engine among a thousand
+ * servers and 30 us among ten thousand, on a whole core (limereel-bench --only servers). Visiting
+ * all of them took 0.9 ms and 12 ms.
  */
 #pragma once
 
@@ -35,7 +37,8 @@
 
 namespace limereel::forward {
 
-/** The book of one box. Pure: time and chance are handed in. */
+/** The servers known to one box. Deterministic: callers pass in the current time and the random
+ * generator. */
 class ServerTable
 {
 public:
@@ -44,35 +47,36 @@
         , health_(policy_)
         , halls_({policy_.quietServers, policy_.silence, policy_.hallTrial})
         , parts_(policy_.partRemembered)
-        , rests_(policy_.maxBackoff)
-        , leaving_(policy_.leavingKept)
+        , backoffs_(policy_.maxBackoff)
+        , leavingServers_(policy_.leavingKept)
     {
     }
 
-    /** \a listed as it counts: it leaves also if it has said so itself. */
+    /** Returns \a listed with \c leaving also set if the server has announced its shutdown itself.
+     */
     ListedServer known(ListedServer listed) const;
 
-    /** Takes in a listed server, new or changed. \param since when it was first listed, if that
-     * was seen; one that was there before counts as old. */
+    /** Adds or updates a listed server. \param since when it was first listed, if this box saw
+     * that; one that was listed before counts as old. */
     void put(const ListedServer &server, kernel::Instant since = {});
 
-    /** A server is listed no more. */
+    /** Removes a server that is no longer listed. */
     void remove(const std::string &id);
 
-    /** Servers of these halls get nothing new; what runs there goes on, and others may still take
-     * prompt parts from them. */
+    /** Sets the halls whose servers get no new requests. Running ones continue, and other servers
+     * may still fetch prompt parts from them. */
     void setDrainedHalls(std::set<std::string> halls) { drainedHalls_ = std::move(halls); }
 
-    /** Sets the region of each hall; servers of others are in none. */
+    /** Sets the region of each hall; servers of other halls belong to no region. */
     void setHallRegions(std::map<std::string, std::string> regions)
     {
         hallRegions_ = std::move(regions);
     }
 
-    /** Whether \a id is listed and may get new requests, loads, rests and health aside. */
+    /** Whether \a id is listed and may get new requests, regardless of load, backoff and health. */
     bool takesWork(const std::string &id) const;
 
-    /** Whether a request may be sent to this life of a server now, loads and health aside. */
+    /** Whether a request may be sent to this incarnation now, regardless of load and health. */
     bool mayBeSent(const ListedServer &server, kernel::Instant now) const;
 
     /** Calls \a visit for each listed server. */
@@ -84,78 +88,82 @@
     /** The listed server \a id; nothing if there is none. */
     std::optional<ListedServer> find(const std::string &id) const;
 
-    /** The server for \a wish; nothing if none may be used. */
+    /** Chooses a server that meets \a requirements; nothing if none may be used. */
     std::optional<Choice> choose(const ServerRequirements &requirements, kernel::Instant now,
                                  std::mt19937_64 &random) const;
 
-    /** Works out anew what the chosen server holds and takes, as \a wish has come to know more
-     * holders since. */
+    /** Determines again which parts the chosen server holds and where it may fetch the others,
+     * after more holders were added to \a requirements. */
     void updateSource(const ServerRequirements &requirements, Choice &choice,
                       kernel::Instant now) const;
 
-    /** Whether a server other than the chosen one is known to hold all shared parts of the prompt,
-     * or the chosen one is itself; else the source is a guess. */
+    /** Whether the chosen server or another one is known to hold all shared parts of the prompt;
+     * otherwise the source is a guess. */
     bool sourceKnown(const ServerRequirements &requirements, const Choice &choice,
                      kernel::Instant now) const;
 
-    /** A request is about to be tried at \a id, connected or not. */
+    /** Records that a request is about to be sent to \a id, which may not be connected yet. */
     void noteAttempt(const std::string &id, kernel::Instant now);
 
-    /** A request goes to \a id; with a prompt, its parts will lie there. */
+    /** Records that a request is sent to \a id, which will then hold the prompt's parts, if there
+     * are any. */
     void begin(const std::string &id, const Prompt *prompt, kernel::Instant now);
 
-    /** The request is over. */
+    /** Records that a request to \a id has ended. */
     void end(const std::string &id);
 
-    /** The box runs; to be called regularly. Time beyond \c ServerPolicy::awake since the last call
-     * is a standstill, in which nothing could be heard: it doesn't count as silence of servers. */
+    /** Records that this process is running; to be called regularly. Time beyond \c
+     * ServerPolicy::stallThreshold since the last call is a stall, during which nothing could be
+     * received; it doesn't count as silence of servers. */
     void noteAwake(kernel::Instant now);
 
-    /** Bytes came from \a id. */
+    /** Records that bytes came from \a id. */
     void noteHeard(const std::string &id, kernel::Instant now);
     void noteLoad(const std::string &id, const ReportedLoad &load, kernel::Instant now);
     void noteSuccess(const std::string &id, kernel::Instant now);
     void noteFailure(const std::string &id, Failure failure, kernel::Instant now);
 
-    /** This life of a server asks this box for rest. */
+    /** Records that this incarnation of a server asks this box for backoff. */
     void noteBackoff(const ListedServer &server, kernel::Duration asked, kernel::Instant now);
 
-    /** This life of a server says that it leaves. \return whether that is news. */
+    /** Records that this incarnation of a server announced its shutdown. \return whether that is
+     * new. */
     bool noteLeaving(const ListedServer &server, kernel::Instant now);
 
-    /** For how long \a id still wants nothing from this box; zero: it doesn't rest. */
+    /** How long \a id still wants no requests from this box; zero: it asked for no backoff. */
     kernel::Duration backoffLeft(const std::string &id, kernel::Instant now) const;
 
-    /** Whether there are servers that could take \a wish, but that all of them rest. */
+    /** Whether there are servers that meet \a requirements, but all of them asked for backoff. */
     bool allBackingOff(const ServerRequirements &requirements, kernel::Instant now) const;
 
-    /** Whether the servers of \a service get no more than they have places. A server that is sent
-     * more may ask for rest, and then not even its places are used. */
+    /** Whether the servers of \a service get no more requests than they have slots. A server that
+     * gets more may ask for backoff, and then not even its slots are used. */
     bool limitedToSlots(const std::string &service, kernel::Instant now) const;
 
-    /** For how long \a id is still taken for full, as it turned a request away. */
+    /** How long \a id is still considered full, after it rejected a request. */
     kernel::Duration fullLeft(const std::string &id, kernel::Instant now) const;
 
-    /** Requests of other boxes that run at \a id, as they tell. */
+    /** Sets how many requests of other boxes run at \a id, as reported. */
     void setOthers(const std::string &id, double load, kernel::Instant now);
 
-    /** This box's requests on \a service. */
+    /** This box's requests that run on \a service. */
     std::uint32_t ownLoad(const std::string &service) const;
 
-    /** This box's requests at \a id. */
+    /** This box's requests that run at \a id. */
     std::uint32_t ownLoadAt(const std::string &id) const;
 
-    /** How many servers of the same service take work, the one with this hash included. */
+    /** How many servers of the service of the server with this hash accept new requests, itself
+     * included. */
     std::size_t serversInSameService(std::uint64_t hash) const;
 
-    /** The server that a prompt asks for first, loads aside; nothing without one that takes work.
-     */
+    /** The server that comes first in the prompt's order, regardless of load; nothing if no server
+     * accepts new requests. */
     std::optional<ListedServer> preferredServer(const ServerRequirements &requirements) const;
 
-    /** Whether nothing has come from \a id for too long while answers are due. */
+    /** Whether nothing has come from \a id for too long while answers are pending. */
     bool silent(const std::string &id, kernel::Instant now) const;
 
-    /** Whether \a id is doubted now. */
+    /** Whether \a id is suspected now. */
     bool isSuspected(const std::string &id, kernel::Instant now) const;
 
     /** The estimated load of \a id: requests that run or wait there. */
@@ -163,18 +171,19 @@
 
 private:
     bool takesWork(const ServerRecord &record) const;
-    void setRest(ServerRecord &record);
+    void setBackoff(ServerRecord &record);
     HallSet allowedHalls(const ServerRequirements &requirements) const;
     HallSet openHalls(const ServerRequirements &requirements) const;
     HallSet closedHalls(kernel::Instant now) const;
     HallSigns signsOf(const std::string &hall, kernel::Instant now) const;
     bool holdsAll(const ServerRecord &record, const ServerRequirements &requirements,
                   kernel::Instant now) const;
-    const ServerRecord *namedGiver(const std::vector<std::uint32_t> &named,
-                                   const std::function<bool(const ServerRecord &)> &mayGive) const;
-    const ServerRecord *guessedGiver(const ServerRequirements &requirements,
-                                     const std::function<bool(const ServerRecord &)> &mayGive,
-                                     kernel::Instant now) const;
+    const ServerRecord *
+    namedSource(const std::vector<std::uint32_t> &named,
+                const std::function<bool(const ServerRecord &)> &mayBeSource) const;
+    const ServerRecord *guessedSource(const ServerRequirements &requirements,
+                                      const std::function<bool(const ServerRecord &)> &mayBeSource,
+                                      kernel::Instant now) const;
     std::optional<kernel::Endpoint> sourceFor(const ServerRecord &target,
                                               const ServerRequirements &requirements,
                                               std::size_t held, kernel::Instant now) const;
@@ -184,9 +193,10 @@
     ServerIndex index_;
     HallReachability halls_;
     PartIndex parts_;
-    BackoffTable rests_;
-    LeavingServers leaving_;
-    std::map<std::string, kernel::Instant> restAskedAt_; ///< By service, of any of its servers.
+    BackoffTable backoffs_;
+    LeavingServers leavingServers_;
+    /** When any server of a service last asked for backoff, by service. */
+    std::map<std::string, kernel::Instant> backoffAskedAt_;
     std::set<std::string> drainedHalls_;
     std::map<std::string, std::string> hallRegions_;
 };
--- a/src/forward/SingleSendLeases.h
+++ b/src/forward/SingleSendLeases.h
@@ -1,6 +1,6 @@
 /** \file
- * Which requests are being sent alone: the owner of such a request lets one send of it run at a
- * time, whatever box asks.
+ * Leases for requests that may only be sent alone: the owner of such a request allows one send at a
+ * time, whichever box asks.
  */
 #pragma once
 
@@ -11,19 +11,19 @@
 
 namespace limereel::forward {
 
-/** The ledger of one owner. Pure: time is handed in. */
+/** The leases granted by one owner. Deterministic: callers pass in the current time. */
 class SingleSendLeases
 {
 public:
-    /** Lets the send \a ask run until \a until at most, if no other one does. \return when to come
-     * back; zero: it may run. */
+    /** Grants the send \a ask a lease until \a until, unless another send holds one. \return how
+     * long to wait before asking again; zero: the lease is granted. */
     kernel::Duration tryAcquire(const RequestIdentity &request, std::uint64_t ask,
                                 kernel::Instant until, kernel::Instant now);
 
-    /** The send \a ask is over. */
+    /** Ends the lease of the send \a ask. */
     void releaseLease(const RequestIdentity &request, std::uint64_t ask);
 
-    /** Drops those whose boxes said nothing more. */
+    /** Drops leases that ran out without the box having ended them. */
     void expire(kernel::Instant now);
 
     std::size_t size() const { return sends_.size(); }
--- a/src/forward/Snapshot.cpp
+++ b/src/forward/Snapshot.cpp
@@ -11,10 +11,10 @@
 
 std::string hostName(std::string_view host)
 {
-    const bool numbered = !host.empty() && host.front() == '[';
-    const std::size_t colon = numbered ? host.find("]:") : host.rfind(':');
+    const bool bracketed = !host.empty() && host.front() == '[';
+    const std::size_t colon = bracketed ? host.find("]:") : host.rfind(':');
     if (colon != std::string_view::npos) {
-        host = host.substr(0, numbered ? colon + 1 : colon);
+        host = host.substr(0, bracketed ? colon + 1 : colon);
     }
     std::string name(host);
     std::ranges::transform(name, name.begin(), [](unsigned char letter) {
--- a/src/forward/Snapshot.h
+++ b/src/forward/Snapshot.h
@@ -1,9 +1,9 @@
 /** \file
- * One version of the configuration of a gateway: routes, services, organisations and limits, as an
- * immutable value that is compiled once and then only looked up.
+ * One version of a gateway's configuration: routes, services, organisations and limits, as an
+ * immutable value that is compiled once and then only queried.
  *
- * The longest matching prefix is found by trying the path's own prefixes, longest first, so ten
- * thousand routes cost no more than ten.
+ * The longest matching prefix is found by looking up the path's own prefixes, longest first, so the
+ * cost doesn't depend on the number of routes.
  */
 #pragma once
 
@@ -20,14 +20,14 @@
 
 namespace limereel::forward {
 
-/** What may be done with a request once it may have run. */
+/** Whether a request may be sent again once it may have run. */
 enum class Repeatability : std::uint8_t {
     Once,       ///< It runs at most once.
     Repeatable, ///< It may run again.
-    Resumable   ///< A stream that may go on elsewhere from the last event that arrived.
+    Resumable   ///< A stream that may be resumed at another server after the last event received.
 };
 
-/** A service that takes part of a route's requests. */
+/** A service that gets a share of a route's requests. */
 struct WeightedService
 {
     std::string service;
@@ -36,7 +36,7 @@
     auto operator<=>(const WeightedService &) const = default;
 };
 
-/** Where requests of one host and path prefix go. */
+/** Where requests for one host and path prefix go. */
 struct Route
 {
     std::string name;
@@ -44,28 +44,29 @@
     std::string prefix; ///< Begins and ends with '/'.
     Repeatability repeatability = Repeatability::Once;
     bool stream = false;
-    bool anonymous = false;       ///< Needs no key.
-    bool promptAffinity = false;  ///< Requests bring prompts whose parts engines keep.
-    kernel::Duration timeout{};   ///< Longest that a request is held.
-    kernel::Duration objective{}; ///< Within which an answer is worth most.
-    kernel::Duration eventGap{};  ///< Longest pause between events that is in time.
-    std::uint32_t priority = 0;   ///< 0 goes first.
+    bool anonymous = false;       ///< Whether requests need no key.
+    bool promptAffinity = false;  ///< Whether requests carry prompts whose parts engines keep.
+    kernel::Duration timeout{};   ///< Upper bound on the time that a request takes.
+    kernel::Duration objective{}; ///< Time within which an answer has its full value.
+    kernel::Duration eventGap{};  ///< Longest pause between two events that is considered in time.
+    std::uint32_t priority = 0;   ///< 0 is the highest.
     std::uint32_t maxAttempts = 1;
     std::vector<WeightedService> services;
-    std::vector<std::string> homes; ///< Regions in which alone its requests run; empty: any.
+    std::vector<std::string> homes; ///< The only regions in which its requests may run; empty: any.
 
     auto operator<=>(const Route &) const = default;
 };
 
-/** A service as the configuration tells of it. */
+/** A service of the configuration. */
 struct Service
 {
     std::string name;
     std::string healthPath;
-    std::uint32_t maxConnections = 0; ///< To one backend server, from the whole fleet; 0: untold.
-    bool engine = false;              ///< Its backend servers are model engines.
-    bool movesParts = false;          ///< Its engines may take prompt parts from each other.
-    ColdPolicy cold;                  ///< How its backend servers start.
+    /** Upper bound on the fleet's connections to one backend server; 0: not stated. */
+    std::uint32_t maxConnections = 0;
+    bool engine = false;     ///< Whether its backend servers are model engines.
+    bool movesParts = false; ///< Whether its engines may fetch prompt parts from each other.
+    ColdPolicy cold;         ///< The cold phase of its backend servers.
 
     auto operator<=>(const Service &) const = default;
 };
@@ -75,13 +76,13 @@
 {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<std::uint32_t> priority; ///< Goes before the route's.
-    std::vector<std::string> homes;        ///< As of a route; where both have some, both bind.
+    std::optional<std::uint32_t> priority; ///< Overrides the route's.
+    std::vector<std::string> homes;        ///< As for a route; if both are set, both apply.
 
     auto operator<=>(const Organisation &) const = default;
 };
 
-/** What callers may send, and how long they may take. */
+/** Limits on the size and duration of callers' requests. */
 struct CallerLimits
 {
     std::uint32_t headBytes = 16384;
@@ -92,7 +93,7 @@
     auto operator<=>(const CallerLimits &) const = default;
 };
 
-/** What a configuration says, not yet compiled. */
+/** The contents of a configuration, not yet compiled. */
 struct SnapshotContent
 {
     std::uint64_t version = 0;
@@ -117,8 +118,8 @@
     const CallerLimits &limits() const { return content_.limits; }
     const SnapshotContent &content() const { return content_; }
 
-    /** The route with the longest prefix of \a path at \a host, as the caller wrote it; nullptr if
-     * there is none. */
+    /** The route with the longest prefix of \a path at \a host, which is as the caller wrote it;
+     * nullptr if there is none. */
     const Route *route(std::string_view host, std::string_view path) const;
 
     const Service *service(const std::string &name) const;
@@ -126,7 +127,7 @@
     /** The organisation that holds \a key; nullptr if none does. */
     const Organisation *organisation(const std::string &key) const;
 
-    /** Whether requests carry keys at all. */
+    /** Whether there are organisations, so that requests carry keys. */
     bool hasOrganisations() const { return !content_.organisations.empty(); }
 
 private:
@@ -140,12 +141,12 @@
 
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-/** The regions in which a request with these homes may run: what both have, or the one that has
- * some. Nothing if it may run in none; empty: anywhere. */
+/** The regions in which a request with these home regions may run: those in both lists, or the list
+ * that isn't empty. Nothing: it may run in none; empty: anywhere. */
 std::optional<std::vector<std::string>> homeRegions(const std::vector<std::string> &ofRoute,
                                                     const std::vector<std::string> &ofOrganisation);
 
-/** The service of \a route for a request, the same for the same \a seed. */
+/** Chooses a service of \a route by weight; the same one for the same \a seed. */
 const std::string &chooseService(const Route &route, std::uint64_t seed);
 
 } // namespace limereel::forward
--- a/src/forward/UsableServers.cpp
+++ b/src/forward/UsableServers.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Beyond the mean of its service by this much, a server's share of failed answers counts as its
-// own.
+// If a server's share of failed answers exceeds the mean of its service by this much, the failures
+// are attributed to the server.
 constexpr double ErrorsBeyondMean = 0.22;
 
 bool in(const HallSet &halls, HallNumber hall)
@@ -30,13 +30,13 @@
     exclude(requirements.barred);
     std::ranges::sort(excluded_);
     excluded_.erase(std::unique(excluded_.begin(), excluded_.end()), excluded_.end());
-    countUnused();
-    sortNoted();
+    countUntracked();
+    gradeTracked();
 }
 
 bool UsableServers::contains(const ServerRecord &record) const
 {
-    return mayTake(record) && !excluded(record) && sortOf(record) >= least_;
+    return mayTake(record) && !excluded(record) && gradeOf(record) >= lowestGrade_;
 }
 
 double UsableServers::meanLoad() const
@@ -61,7 +61,7 @@
 
 const ServerRecord *UsableServers::pickUntrackedIn(HallNumber hall, std::mt19937_64 &random) const
 {
-    // Few are noted or excluded, so this ends soon after it has begun.
+    // Few servers are tracked or excluded, so this loop ends after a few steps.
     const auto &servers = service_->byHall[hall];
     const std::size_t first = random() % servers.size();
     for (std::size_t step = 0; step < servers.size(); ++step) {
@@ -75,11 +75,11 @@
 
 bool UsableServers::mayTake(const ServerRecord &record) const
 {
-    return belongs(record) && !record.inBackoff(view_.now)
+    return isCandidate(record) && !record.inBackoff(view_.now)
            && !(view_.limitedToSlots && record.allSlotsTaken(view_.now));
 }
 
-bool UsableServers::belongs(const ServerRecord &record) const
+bool UsableServers::isCandidate(const ServerRecord &record) const
 {
     return record.server.service == requirements_.service && !record.server.leaving
            && in(view_.open, record.hall);
@@ -90,16 +90,16 @@
     return std::ranges::binary_search(excluded_, &record);
 }
 
-UsableServers::Sort UsableServers::sortOf(const ServerRecord &record) const
+UsableServers::Grade UsableServers::gradeOf(const ServerRecord &record) const
 {
     if (in(view_.closed, record.hall)
         || (record.tracked && view_.health.isSuspected(record, view_.now))) {
-        return Sort::Doubted;
+        return Grade::Suspected;
     }
     const bool poor =
             record.tracked
-            && (record.errorShare(view_.now) >= mostErrors_ || view_.now < record.fullUntil);
-    return poor ? Sort::Fair : Sort::Good;
+            && (record.errorShare(view_.now) >= errorShareLimit_ || view_.now < record.fullUntil);
+    return poor ? Grade::Fair : Grade::Good;
 }
 
 void UsableServers::exclude(const std::vector<std::string> &ids)
@@ -111,25 +111,25 @@
     }
 }
 
-void UsableServers::countUnused()
+void UsableServers::countUntracked()
 {
     for (HallNumber hall = 0; hall < service_->byHall.size(); ++hall) {
         perHall_.push_back(in(view_.open, hall) ? service_->byHall[hall].size() : 0);
     }
     for (const ServerRecord *record : excluded_) {
-        if (belongs(*record) && !record->tracked) {
+        if (isCandidate(*record) && !record->tracked) {
             --perHall_[record->hall];
         }
     }
     for (const ServerRecord *record : view_.index.tracked()) {
-        if (belongs(*record)) {
+        if (isCandidate(*record)) {
             --perHall_[record->hall];
         }
     }
 }
 
-// The mean share of failed answers is taken over all that may have the request.
-void UsableServers::sortNoted()
+// The mean share of failed answers is taken over all servers that may run the request.
+void UsableServers::gradeTracked()
 {
     double errorSum = 0;
     for (const ServerRecord *record : view_.index.tracked()) {
@@ -139,22 +139,22 @@
         }
     }
     const std::size_t all = std::accumulate(perHall_.begin(), perHall_.end(), tracked_.size());
-    mostErrors_ = (all == 0 ? 0 : errorSum / static_cast<double>(all)) + ErrorsBeyondMean;
+    errorShareLimit_ = (all == 0 ? 0 : errorSum / static_cast<double>(all)) + ErrorsBeyondMean;
     std::size_t reachable = 0;
     for (HallNumber hall = 0; hall < perHall_.size(); ++hall) {
         reachable += in(view_.closed, hall) ? 0 : perHall_[hall];
     }
-    least_ = reachable > 0 ? Sort::Good : Sort::Doubted;
+    lowestGrade_ = reachable > 0 ? Grade::Good : Grade::Suspected;
     for (const ServerRecord *record : tracked_) {
-        least_ = std::max(least_, sortOf(*record));
+        lowestGrade_ = std::max(lowestGrade_, gradeOf(*record));
     }
-    std::erase_if(tracked_, [this](const auto *record) { return sortOf(*record) < least_; });
+    std::erase_if(tracked_, [this](const auto *record) { return gradeOf(*record) < lowestGrade_; });
     for (HallNumber hall = 0; hall < perHall_.size(); ++hall) {
-        if (least_ > Sort::Doubted && in(view_.closed, hall)) {
+        if (lowestGrade_ > Grade::Suspected && in(view_.closed, hall)) {
             perHall_[hall] = 0;
         }
     }
-    unused_ = std::accumulate(perHall_.begin(), perHall_.end(), std::size_t{0});
+    untracked_ = std::accumulate(perHall_.begin(), perHall_.end(), std::size_t{0});
 }
 
 } // namespace limereel::forward
