--- a/test/correctness/ColdStartTest.cpp
+++ b/test/correctness/ColdStartTest.cpp
@@ -1,5 +1,5 @@
-// Cold backend servers: which ones a box takes for cold, and how many requests a second all boxes
-// together send to one, whatever they know of each other.
+// Cold backend servers: which servers a box considers cold, and how many requests a second all
+// boxes together send to one, whatever they know of each other.
 
 #include "forward/ColdRateLimiter.h"
 #include "forward/ColdStarts.h"
@@ -46,7 +46,7 @@
     BOOST_TEST(!starts.state(Pool, Server + 1, at(0s)).cold());
 }
 
-BOOST_AUTO_TEST_CASE(state_laterWordThatItIsWarm_doesNotMakeItWarm)
+BOOST_AUTO_TEST_CASE(state_laterReportThatItIsWarm_doesNotMakeItWarm)
 {
     ColdStarts starts = poolOf({3s, 8.9});
     starts.noteReported(Server, 2500ms, at(0s));
@@ -65,7 +65,7 @@
     BOOST_TEST(!starts.state(kernel::hashOf("other"), Server, at(1s)).cold());
 }
 
-BOOST_AUTO_TEST_CASE(noteTold_absurdTime_endsAllTheSame)
+BOOST_AUTO_TEST_CASE(noteReported_absurdTime_isCapped)
 {
     ColdStarts starts = poolOf({3s, 8.9});
     starts.noteReported(Server, 1000000s, at(0s));
@@ -100,11 +100,11 @@
 constexpr ColdRatePolicy Policy{.excess = 1.5, .slack = 5};
 constexpr double PerSecond = 8.9;
 
-int grantedIn(ColdRateLimiter &ledger, const FleetPart &fleet, kernel::Duration from)
+int grantedIn(ColdRateLimiter &limiter, const FleetPart &fleet, kernel::Duration from)
 {
     int granted = 0;
     for (kernel::Duration since = from; since < from + 1s; since += 5ms) {
-        granted += ledger.grant({Server, PerSecond, 1}, fleet, at(since)) ? 1 : 0;
+        granted += limiter.grant({Server, PerSecond, 1}, fleet, at(since)) ? 1 : 0;
     }
     return granted;
 }
@@ -113,65 +113,66 @@
 
 BOOST_AUTO_TEST_CASE(grant_manyAsks_staysBelowHalfOfTheBoundAndUsesMostOfItsPart)
 {
-    ColdRateLimiter ledger(Policy);
+    ColdRateLimiter limiter(Policy);
     int all = 0;
     constexpr int Seconds = 10;
     for (int second = 0; second < Seconds; ++second) {
-        const int granted = grantedIn(ledger, {70, 70}, 1s * second);
-        BOOST_TEST(granted <= ledger.bound(PerSecond) / 2);
+        const int granted = grantedIn(limiter, {70, 70}, 1s * second);
+        BOOST_TEST(granted <= limiter.bound(PerSecond) / 2);
         all += granted;
     }
     BOOST_TEST(all >= 3 * Seconds);
 }
 
-BOOST_AUTO_TEST_CASE(grant_ownerHasSettled_grantsMostOfWhatTheServerBearsAndLessThanTheBound)
+BOOST_AUTO_TEST_CASE(grant_ownerHasSettled_grantsMostOfTheServersRateAndLessThanTheBound)
 {
-    ColdRateLimiter ledger(Policy);
+    ColdRateLimiter limiter(Policy);
     for (int second = 0; second < 10; ++second) {
-        const int granted = grantedIn(ledger, {70, 70, true}, 1s * second);
-        BOOST_TEST(granted <= ledger.bound(PerSecond) * 3 / 4);
+        const int granted = grantedIn(limiter, {70, 70, true}, 1s * second);
+        BOOST_TEST(granted <= limiter.bound(PerSecond) * 3 / 4);
     }
     int all = 0;
     for (int second = 10; second < 20; ++second) {
-        all += grantedIn(ledger, {70, 70, true}, 1s * second);
+        all += grantedIn(limiter, {70, 70, true}, 1s * second);
     }
     BOOST_TEST(all >= 10 * PerSecond * 0.8);
 }
 
-// Who owns it from now on doesn't know what the owner before has granted in this second.
+// The new owner doesn't know what the previous owner has granted in this second.
 BOOST_AUTO_TEST_CASE(grant_ownerChanges_newOneBeginsWithHalf)
 {
-    ColdRateLimiter before(Policy);
-    ColdRateLimiter after(Policy);
-    grantedIn(before, {70, 70}, 0s);
-    const int first = grantedIn(after, {70, 70}, 1s);
-    BOOST_TEST(first <= before.bound(PerSecond) / 4);
+    ColdRateLimiter previousOwner(Policy);
+    ColdRateLimiter nextOwner(Policy);
+    grantedIn(previousOwner, {70, 70}, 0s);
+    const int first = grantedIn(nextOwner, {70, 70}, 1s);
+    BOOST_TEST(first <= previousOwner.bound(PerSecond) / 4);
     BOOST_TEST(first > 0);
 }
 
-BOOST_AUTO_TEST_CASE(grant_noBoundIsSet_isWhatTheServerBears)
+BOOST_AUTO_TEST_CASE(grant_noBoundIsSet_isTheServersRate)
 {
-    ColdRateLimiter ledger;
-    BOOST_TEST(ledger.bound(10) == 10);
-    BOOST_TEST(grantedIn(ledger, {1, 1}, 0s) <= 10);
+    ColdRateLimiter limiter;
+    BOOST_TEST(limiter.bound(10) == 10);
+    BOOST_TEST(grantedIn(limiter, {1, 1}, 0s) <= 10);
 }
 
 BOOST_AUTO_TEST_CASE(grant_boxSeesFewOfItsFleet_grantsItsPart)
 {
-    // 25 of 73 boxes are cut off, each alone, and each wants all it can get from the same server.
+    // 25 of 73 boxes are cut off, each from all others, and each asks for as much as it can get
+    // from the same server.
     int granted = 0;
     constexpr int Seconds = 20;
     for (std::uint64_t box = 1; box <= 25; ++box) {
-        ColdRateLimiter ledger(Policy);
+        ColdRateLimiter limiter(Policy);
         for (kernel::Duration since = 0s; since < 1s * Seconds; since += 20ms) {
-            granted += ledger.grant({Server, PerSecond, box}, {1, 73}, at(since)) ? 1 : 0;
+            granted += limiter.grant({Server, PerSecond, box}, {1, 73}, at(since)) ? 1 : 0;
         }
     }
     BOOST_TEST(granted <= Seconds * PerSecond);
     BOOST_TEST(granted > 0);
 }
 
-BOOST_AUTO_TEST_CASE(grantAlone_wholeFleetWithoutOwners_staysBelowTheBound)
+BOOST_AUTO_TEST_CASE(grantWithoutOwner_wholeFleetWithoutOwners_staysBelowTheBound)
 {
     constexpr std::uint64_t Boxes = 73;
     std::vector<ColdRateLimiter> ledgers(Boxes, ColdRateLimiter(Policy));
@@ -193,20 +194,20 @@
 
 namespace {
 
-/** One box of a simulated fleet, and what it takes the fleet for. */
+/** One box of a simulated fleet, and what it knows of the fleet. */
 struct Box
 {
-    ColdRateLimiter ledger{Policy};
-    FleetSizeEstimate memory{{.guess = 32, .guessFor = 60s, .rememberedFor = 60s}};
-    std::size_t owner = 0; ///< Whom it asks.
+    ColdRateLimiter limiter{Policy};
+    FleetSizeEstimate sizeEstimate{{.guess = 32, .guessFor = 60s, .rememberedFor = 60s}};
+    std::size_t owner = 0; ///< The box that it asks as the owner.
     std::size_t seen = 0;
-    bool cut = false; ///< From all other boxes.
+    bool cutOff = false; ///< Whether it is cut off from all other boxes.
     kernel::Instant downUntil;
-    kernel::Instant owns;                          ///< Since when, by its own view,
-    kernel::Instant lost = kernel::Instant::max(); ///< until then.
+    kernel::Instant owns;                          ///< Start of its ownership, as far as it knows.
+    kernel::Instant lost = kernel::Instant::max(); ///< End of its ownership, as far as it knows.
 };
 
-/** A fleet that sends as much as it may to one cold server, against a plain count of arrivals. */
+/** A fleet that sends as much as it may to one cold server, and a count of the arrivals there. */
 class Fleet
 {
 public:
@@ -216,7 +217,7 @@
     {
         for (Box &box : boxes_) {
             box.seen = boxes;
-            part(box, at(0s));
+            fleetPart(box, at(0s));
         }
     }
 
@@ -230,7 +231,7 @@
         }
     }
 
-    /** The most arrivals in any second. */
+    /** The largest number of arrivals in any second. */
     std::size_t worstSecond()
     {
         std::ranges::sort(arrivals_);
@@ -248,14 +249,15 @@
     std::size_t sent() const { return arrivals_.size(); }
 
 private:
-    // News of a change reach a box within two seconds; one settles after four.
-    FleetPart part(Box &box, kernel::Instant now)
+    // A box learns of a change of owner within two seconds; an owner counts as settled after four.
+    FleetPart fleetPart(Box &box, kernel::Instant now)
     {
         const bool settled = now - box.owns >= 4s && now < box.lost;
-        return {box.seen, box.memory.note(box.seen, now), settled};
+        return {box.seen, box.sizeEstimate.note(box.seen, now), settled};
     }
 
-    // The next owner begins by its own view, the one before hears of it within two seconds.
+    // The next owner's ownership begins at once in its own view; the previous owner learns of it
+    // within two seconds.
     void changeOwner(std::size_t owner, kernel::Instant now)
     {
         boxes_[owner].owns = now;
@@ -264,25 +266,28 @@
         owner_ = owner;
     }
 
-    // A box is cut off or back, is replaced, or some see another owner for a while.
+    // Cuts a box off or reconnects it, restarts a box, or makes some boxes see another owner for a
+    // while.
     void disturb(kernel::Instant now)
     {
         Box &box = boxes_[random_() % boxes_.size()];
         switch (random_() % 4) {
         case 0:
-            box.cut = !box.cut;
-            box.seen = box.cut ? 1 : boxes_.size();
+            box.cutOff = !box.cutOff;
+            box.seen = box.cutOff ? 1 : boxes_.size();
             box.owns = now;
             break;
         case 1:
-            box.ledger = ColdRateLimiter(Policy);
-            box.memory = FleetSizeEstimate({.guess = 32, .guessFor = 60s, .rememberedFor = 60s});
-            // It starts, reads the configuration and is heard of again.
+            box.limiter = ColdRateLimiter(Policy);
+            box.sizeEstimate =
+                    FleetSizeEstimate({.guess = 32, .guessFor = 60s, .rememberedFor = 60s});
+            // It starts, reads the configuration and becomes known to the others again.
             box.downUntil = now + 1ms * (500 + random_() % 1000);
             box.owns = box.downUntil;
             break;
         case 2: {
-            // Ownership passes on; some boxes hear of it late, so two owners are asked meanwhile.
+            // The owner changes and some boxes learn of it late, so two owners are asked in the
+            // meantime.
             const std::size_t next = 1 - owner_;
             for (Box &other : boxes_) {
                 other.owner = random_() % 2 == 0 ? next : owner_;
@@ -295,7 +300,7 @@
                 other.owner = owner_;
             }
         }
-        part(box, now);
+        fleetPart(box, now);
     }
 
     void send(std::size_t index, kernel::Instant now)
@@ -304,17 +309,18 @@
         if (now < box.downUntil) {
             return;
         }
-        const std::size_t owner = box.cut ? index : box.owner;
+        const std::size_t owner = box.cutOff ? index : box.owner;
         const Box &named = boxes_[owner];
-        const bool reached = owner == index || (!named.cut && now >= named.downUntil);
+        const bool reached = owner == index || (!named.cutOff && now >= named.downUntil);
         const bool lost = owner != index && random_() % 10 == 0;
         bool granted = false;
         if (reached) {
             Box &asked = boxes_[owner];
-            granted = asked.ledger.grant({Server, PerSecond, owner}, part(asked, now), now);
+            granted = asked.limiter.grant({Server, PerSecond, owner}, fleetPart(asked, now), now);
         }
         if (!reached || lost) {
-            granted = box.ledger.grantWithoutOwner({Server, PerSecond, index}, part(box, now), now);
+            granted = box.limiter.grantWithoutOwner({Server, PerSecond, index}, fleetPart(box, now),
+                                                    now);
         }
         if (granted) {
             // Slow boxes send late.
@@ -330,7 +336,8 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(fleet_anyHistoryOfCutsRestartsLostWordsAndTwoOwners_noSecondIsAboveTheBound)
+BOOST_AUTO_TEST_CASE(
+        fleet_anyHistoryOfPartitionsRestartsLostMessagesAndTwoOwners_noSecondIsAboveTheBound)
 {
     const double bound = ColdRateLimiter(Policy).bound(PerSecond);
     for (std::uint64_t seed = 1; seed <= 250; ++seed) {
--- a/test/correctness/CrashTableTest.cpp
+++ b/test/correctness/CrashTableTest.cpp
@@ -1,5 +1,5 @@
-// Requests under which backend servers end: what is counted, what stops, what clears, and that
-// records say the same whatever way they were joined.
+// Records of requests during which backend servers crash: what is counted, what stops a request,
+// what clears a record, and that merging gives the same result in any order.
 
 #include "forward/CrashTable.h"
 #include "forward/SingleSendLeases.h"
@@ -23,16 +23,16 @@
     return {number % 7, number, number};
 }
 
-class BookFixture
+class CrashTableFixture
 {
 public:
-    void end(std::uint64_t server, bool alone = false, kernel::Duration since = 0s)
+    void crash(std::uint64_t server, bool alone = false, kernel::Duration since = 0s)
     {
-        book.noteCrash(Guilty, server, alone, at(since));
+        table.noteCrash(Suspect, server, alone, at(since));
     }
 
-    const RequestIdentity Guilty = request(1);
-    CrashTable book;
+    const RequestIdentity Suspect = request(1);
+    CrashTable table;
 };
 
 CrashRecord randomRecord(std::mt19937_64 &random)
@@ -51,89 +51,90 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(CrashTableTest, BookFixture)
+BOOST_FIXTURE_TEST_SUITE(CrashTableTest, CrashTableFixture)
 
-BOOST_AUTO_TEST_CASE(standing_serversEndOneAfterTheOther_freeThenAloneThenStopped)
+BOOST_AUTO_TEST_CASE(restriction_serversCrashOneAfterTheOther_freeThenAloneThenStopped)
 {
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
-    end(1);
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
-    end(1);
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Free));
-    end(2);
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Alone));
-    end(3, true);
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Stopped));
-    BOOST_TEST((book.restriction(request(2), at(0s)) == SendRestriction::Free));
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Free));
+    crash(1);
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Free));
+    crash(1);
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Free));
+    crash(2);
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Alone));
+    crash(3, true);
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Stopped));
+    BOOST_TEST((table.restriction(request(2), at(0s)) == SendRestriction::Free));
 }
 
-// A popular request runs on many servers at once; a storm that ends them all proves nothing.
-BOOST_AUTO_TEST_CASE(standing_manyServersEndAtOnce_runsAloneAndIsFreeOnceAnswered)
+// A frequent request runs on many servers at a time, so a wave of crashes that hits them all proves
+// nothing about it.
+BOOST_AUTO_TEST_CASE(restriction_manyServersCrashAtOnce_runsAloneAndIsFreeOnceAnswered)
 {
     for (std::uint64_t server = 1; server <= 40; ++server) {
-        end(server);
+        crash(server);
     }
-    BOOST_TEST((book.restriction(Guilty, at(0s)) == SendRestriction::Alone));
-    BOOST_TEST(book.forget(Guilty, at(1s)));
-    BOOST_TEST((book.restriction(Guilty, at(1s)) == SendRestriction::Free));
-    BOOST_TEST(!book.forget(Guilty, at(1s)));
+    BOOST_TEST((table.restriction(Suspect, at(0s)) == SendRestriction::Alone));
+    BOOST_TEST(table.forget(Suspect, at(1s)));
+    BOOST_TEST((table.restriction(Suspect, at(1s)) == SendRestriction::Free));
+    BOOST_TEST(!table.forget(Suspect, at(1s)));
 }
 
-BOOST_AUTO_TEST_CASE(standing_stopped_runsAloneAgainAfterLongerAndLongerAndThenNotAnyMore)
+BOOST_AUTO_TEST_CASE(restriction_stopped_runsAloneAgainAfterGrowingPausesAndFinallyNeverAgain)
 {
     const CrashPolicy policy;
-    end(1);
-    end(2);
+    crash(1);
+    crash(2);
     kernel::Duration now = 0s;
     std::uint64_t server = 10;
     for (std::uint32_t trial = 1; trial < policy.maxFailedTrials; ++trial) {
-        end(server++, true, now);
-        const kernel::Duration held = book.stoppedFor(Guilty, at(now));
-        BOOST_TEST((book.restriction(Guilty, at(now + held - 1s)) == SendRestriction::Stopped));
+        crash(server++, true, now);
+        const kernel::Duration held = table.stoppedFor(Suspect, at(now));
+        BOOST_TEST((table.restriction(Suspect, at(now + held - 1s)) == SendRestriction::Stopped));
         now += held;
-        BOOST_TEST((book.restriction(Guilty, at(now)) == SendRestriction::Alone));
+        BOOST_TEST((table.restriction(Suspect, at(now)) == SendRestriction::Alone));
     }
-    end(server, true, now);
-    BOOST_TEST((book.restriction(Guilty, at(now + 10 * policy.remembered))
+    crash(server, true, now);
+    BOOST_TEST((table.restriction(Suspect, at(now + 10 * policy.remembered))
                 == SendRestriction::Stopped));
 }
 
-// A popular harmless request often runs where a guilty one ends a server, also when it runs alone.
-BOOST_AUTO_TEST_CASE(standing_wasAnsweredBefore_isStoppedOnlyAfterAsManyMoreEnds)
+// A frequent request often runs on a server that another request crashes, also while it runs alone.
+BOOST_AUTO_TEST_CASE(restriction_wasAnsweredBefore_isStoppedOnlyAfterAsManyMoreCrashes)
 {
-    end(1);
-    book.forget(Guilty, at(1s));
-    end(2);
-    book.forget(Guilty, at(2s));
-    end(3);
-    end(4);
-    end(5, true);
-    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Alone));
-    end(6, true);
-    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Alone));
-    end(7, true);
-    BOOST_TEST((book.restriction(Guilty, at(3s)) == SendRestriction::Stopped));
+    crash(1);
+    table.forget(Suspect, at(1s));
+    crash(2);
+    table.forget(Suspect, at(2s));
+    crash(3);
+    crash(4);
+    crash(5, true);
+    BOOST_TEST((table.restriction(Suspect, at(3s)) == SendRestriction::Alone));
+    crash(6, true);
+    BOOST_TEST((table.restriction(Suspect, at(3s)) == SendRestriction::Alone));
+    crash(7, true);
+    BOOST_TEST((table.restriction(Suspect, at(3s)) == SendRestriction::Stopped));
 }
 
-BOOST_AUTO_TEST_CASE(take_forgottenElsewhere_olderRoundsSayNothing)
+BOOST_AUTO_TEST_CASE(merge_clearedElsewhere_olderRoundsAreVoid)
 {
-    end(1);
-    end(2);
-    const CrashRecord before = book.record(Guilty);
-    book.forget(Guilty, at(1s));
-    BOOST_TEST(!book.merge(before, at(2s)));
-    BOOST_TEST((book.restriction(Guilty, at(2s)) == SendRestriction::Free));
-    BOOST_TEST(book.isShared(Guilty));
+    crash(1);
+    crash(2);
+    const CrashRecord before = table.record(Suspect);
+    table.forget(Suspect, at(1s));
+    BOOST_TEST(!table.merge(before, at(2s)));
+    BOOST_TEST((table.restriction(Suspect, at(2s)) == SendRestriction::Free));
+    BOOST_TEST(table.isShared(Suspect));
 }
 
-BOOST_AUTO_TEST_CASE(take_nothingIsKnownOnEitherSide_nothingIsKept)
+BOOST_AUTO_TEST_CASE(merge_bothRecordsEmpty_nothingIsKept)
 {
-    BOOST_TEST(!book.merge({.request = Guilty}, at(0s)));
-    BOOST_TEST(book.size() == 0U);
-    BOOST_TEST(!book.concerns(Guilty.shape));
+    BOOST_TEST(!table.merge({.request = Suspect}, at(0s)));
+    BOOST_TEST(table.size() == 0U);
+    BOOST_TEST(!table.concerns(Suspect.shape));
 }
 
-BOOST_AUTO_TEST_CASE(joined_anyOrderAnyNumberOfTimes_saysTheSame)
+BOOST_AUTO_TEST_CASE(mergedRecord_anyOrderAnyNumberOfTimes_isTheSame)
 {
     std::mt19937_64 random(5);
     for (int history = 0; history < 500; ++history) {
@@ -148,40 +149,40 @@
 
 BOOST_AUTO_TEST_CASE(records_floodOfOthers_stoppedOnesStay)
 {
-    CrashTable small{CrashPolicy{.records = 100}};
-    small.noteCrash(Guilty, 1, false, at(0s));
-    small.noteCrash(Guilty, 2, false, at(0s));
-    small.noteCrash(Guilty, 3, true, at(0s));
+    CrashTable smallTable{CrashPolicy{.records = 100}};
+    smallTable.noteCrash(Suspect, 1, false, at(0s));
+    smallTable.noteCrash(Suspect, 2, false, at(0s));
+    smallTable.noteCrash(Suspect, 3, true, at(0s));
     for (std::uint64_t number = 2; number < 5000; ++number) {
-        small.noteCrash(request(number), number, false, at(1s));
+        smallTable.noteCrash(request(number), number, false, at(1s));
     }
-    BOOST_TEST(small.size() == 100U);
-    BOOST_TEST((small.restriction(Guilty, at(2s)) == SendRestriction::Stopped));
+    BOOST_TEST(smallTable.size() == 100U);
+    BOOST_TEST((smallTable.restriction(Suspect, at(2s)) == SendRestriction::Stopped));
 }
 
 BOOST_AUTO_TEST_CASE(expire_oldRecords_areDroppedWithTheirShapes)
 {
-    end(1);
-    book.expire(at(23h));
-    BOOST_TEST(book.size() == 1U);
-    book.expire(at(24h));
-    BOOST_TEST(book.size() == 0U);
-    BOOST_TEST(!book.concerns(Guilty.shape));
+    crash(1);
+    table.expire(at(23h));
+    BOOST_TEST(table.size() == 1U);
+    table.expire(at(24h));
+    BOOST_TEST(table.size() == 0U);
+    BOOST_TEST(!table.concerns(Suspect.shape));
 }
 
-BOOST_AUTO_TEST_CASE(aloneLedger_oneSendRuns_othersComeBackWhenItIsOver)
+BOOST_AUTO_TEST_CASE(singleSendLeases_oneSendRuns_othersWaitUntilItEnds)
 {
-    SingleSendLeases ledger;
-    BOOST_TEST((ledger.tryAcquire(Guilty, 1, at(5s), at(0s)) == 0s));
-    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 4s));
-    BOOST_TEST((ledger.tryAcquire(Guilty, 1, at(5s), at(1s)) == 0s));
-    ledger.releaseLease(Guilty, 2);
-    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 4s));
-    ledger.releaseLease(Guilty, 1);
-    BOOST_TEST((ledger.tryAcquire(Guilty, 2, at(6s), at(1s)) == 0s));
-    BOOST_TEST((ledger.tryAcquire(Guilty, 3, at(9s), at(7s)) == 0s));
-    ledger.expire(at(20s));
-    BOOST_TEST(ledger.size() == 0U);
+    SingleSendLeases leases;
+    BOOST_TEST((leases.tryAcquire(Suspect, 1, at(5s), at(0s)) == 0s));
+    BOOST_TEST((leases.tryAcquire(Suspect, 2, at(6s), at(1s)) == 4s));
+    BOOST_TEST((leases.tryAcquire(Suspect, 1, at(5s), at(1s)) == 0s));
+    leases.releaseLease(Suspect, 2);
+    BOOST_TEST((leases.tryAcquire(Suspect, 2, at(6s), at(1s)) == 4s));
+    leases.releaseLease(Suspect, 1);
+    BOOST_TEST((leases.tryAcquire(Suspect, 2, at(6s), at(1s)) == 0s));
+    BOOST_TEST((leases.tryAcquire(Suspect, 3, at(9s), at(7s)) == 0s));
+    leases.expire(at(20s));
+    BOOST_TEST(leases.size() == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/EngineChoiceTest.cpp
+++ b/test/correctness/EngineChoiceTest.cpp
@@ -1,9 +1,9 @@
-// Which engines are asked for a chat when its first choices are full or have failed it.
+// Which engines are asked for a chat if its preferred engines are full or have failed it.
 //
-// Seen: with one engine of six refusing everything, a chat was now and then refused as "engines
-// full" beside an empty engine. Its home had named five engines to ask: the one that had just
-// refused the chat, and four full ones; the empty one came sixth and was left out. The fixture
-// brings a hall into that state.
+// Guards against a refusal as "engines full" beside an empty engine, seen with one of six engines
+// refusing everything. The router that owned the chat's home engine had named five engines to ask:
+// the one that had just refused the chat, and four full ones. The empty engine was sixth and was
+// left out. The fixture brings a hall into that state.
 
 #include "membership/Ownership.h"
 #include "routing/Placement.h"
@@ -23,16 +23,18 @@
 namespace {
 
 constexpr std::size_t Failed = 3;
-constexpr std::size_t WithRoom = 2;
-constexpr int FailuresToFall = 2; ///< In a row, until an owner takes an engine for unusable.
-constexpr int Chats = 24;         ///< Enough that each engine comes last for some.
+constexpr std::size_t WithFreeSlot = 2;
+/** Failures in a row after which an owner considers an engine unusable. */
+constexpr int FailuresToUnusable = 2;
+constexpr int Chats = 24; ///< Enough that each engine comes last for some.
 
-/** Six engines with a slot each, so that one request fills one whatever the mean. */
+/** Six engines with one slot each, so that one request fills an engine whatever the mean is. */
 struct SlotsFixture
 {
     SlotsFixture()
     {
-        // What a test fills stays full: nobody renews it.
+        // Slots that a test takes stay taken during the test, although their permits aren't
+        // renewed.
         fleet.settings([](kernel::BoxSettings &settings) { settings.permitLease = 300s; });
         fleet.engines("hall-a", 6).routers("hall-a", 3);
         fleet.start();
@@ -78,7 +80,7 @@
         return router;
     }
 
-    /** Takes the slots of all engines but \a free, and waits until every box has heard so. */
+    /** Takes the slots of all engines but \a free, and waits until every box knows it. */
     void fillAllBut(const std::set<std::size_t> &free)
     {
         for (std::size_t engine = 0; engine < fleet.engineCount(); ++engine) {
@@ -96,7 +98,7 @@
         BOOST_REQUIRE(fleet.until([this, free] { return onlyFree(free); }));
     }
 
-    /** Whether every box takes just the engines \a free for empty. */
+    /** Whether every box considers exactly the engines \a free empty. */
     bool onlyFree(const std::set<std::size_t> &free)
     {
         for (std::size_t router = 0; router < fleet.routerCount(); ++router) {
@@ -130,14 +132,14 @@
         return result;
     }
 
-    /** Takes \a engines down, and lets only their owners know it: other boxes hear it with the
-     * next heartbeat, so what a test asks without a wait is asked before they do. */
-    void failUnheard(const std::set<std::size_t> &engines)
+    /** Takes \a engines down and informs only their owners. Other boxes learn of it with the next
+     * heartbeat, so a test that asks without a wait asks before that. */
+    void failKnownToOwnersOnly(const std::set<std::size_t> &engines)
     {
         for (const std::size_t engine : engines) {
             fleet.takeDown(engine);
             services::OwnerService &owned = owner(ownerOf(engine));
-            for (int failure = 0; failure < FailuresToFall; ++failure) {
+            for (int failure = 0; failure < FailuresToUnusable; ++failure) {
                 owned.take(peer::GiveBack{.request = 0,
                                           .resource = hashOf(engine),
                                           .observed = peer::Observed::Unreachable});
@@ -174,14 +176,14 @@
         return needOf(chat);
     }
 
-    /** Asks at \a router right after only the owners of \a failed know that these are down. */
+    /** Asks at \a router while only the owners of \a failed know that these are down. */
     tl::expected<services::Permit, services::NoPermit>
-    acquireAfterUnheardFailure(std::size_t router, services::Need need,
-                               const std::set<std::size_t> &failed)
+    acquireWithFailureKnownToOwnersOnly(std::size_t router, services::Need need,
+                                        const std::set<std::size_t> &failed)
     {
         tl::expected<services::Permit, services::NoPermit> result;
         fleet.await([&]() -> asio::awaitable<void> {
-            failUnheard(failed);
+            failKnownToOwnersOnly(failed);
             BOOST_TEST(std::ranges::any_of(
                     failed, [&](std::size_t engine) { return openAt(router, engine); }));
             result = co_await at<services::PermitService>(router, "permits").acquireEngine(need);
@@ -189,9 +191,9 @@
         return result;
     }
 
-    /** Lets chats at all routers take the only place there is, one after the other. */
-    void eachChatFindsTheRoom(const std::set<std::size_t> &free,
-                              const std::set<std::uint64_t> &excluded)
+    /** Lets chats at all routers take the only free slot, one after the other. */
+    void eachChatFindsTheFreeSlot(const std::set<std::size_t> &free,
+                                  const std::set<std::uint64_t> &excluded)
     {
         fillAllBut(free);
         for (int chat = 0; chat < Chats; ++chat) {
@@ -204,7 +206,7 @@
                 BOOST_TEST(permit.has_value());
             }
             if (permit) {
-                BOOST_TEST(permit->resource == hashOf(WithRoom));
+                BOOST_TEST(permit->resource == hashOf(WithFreeSlot));
                 at<services::PermitService>(router, "permits")
                         .giveBack(*permit, peer::Observed::Unused);
             }
@@ -244,19 +246,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineChoiceTest, SlotsFixture)
 
-BOOST_AUTO_TEST_CASE(anEngineFailedTheChat_itTakesNoPlaceAmongThoseThatAreAsked)
+BOOST_AUTO_TEST_CASE(engineFailedTheChat_isNotAmongTheEnginesAsked)
 {
-    eachChatFindsTheRoom({Failed, WithRoom}, {hashOf(Failed)});
+    eachChatFindsTheFreeSlot({Failed, WithFreeSlot}, {hashOf(Failed)});
 }
 
-BOOST_AUTO_TEST_CASE(candidatesAreFull_theEngineWithRoomBeyondThemIsAsked)
+BOOST_AUTO_TEST_CASE(candidatesAreFull_engineWithAFreeSlotBeyondThemIsAsked)
 {
-    eachChatFindsTheRoom({WithRoom}, {});
+    eachChatFindsTheFreeSlot({WithFreeSlot}, {});
 }
 
-// A holder that another box owns goes before all candidates, so that none of these is tried by the
-// chat's home itself.
-BOOST_AUTO_TEST_CASE(holderAndCandidatesAreFull_theEngineWithRoomBeyondThemIsAsked)
+// A holder that another box owns is tried before all candidates, so the router that owns the chat's
+// home engine tries none of these itself.
+BOOST_AUTO_TEST_CASE(holderAndCandidatesAreFull_engineWithAFreeSlotBeyondThemIsAsked)
 {
     for (int chat = 0; chat < Chats; ++chat) {
         constexpr std::array<std::size_t, 3> Holders = {0, 1, 4};
@@ -269,10 +271,10 @@
                                             .passedOn = true});
         }
     }
-    eachChatFindsTheRoom({WithRoom}, {});
+    eachChatFindsTheFreeSlot({WithFreeSlot}, {});
 }
 
-BOOST_AUTO_TEST_CASE(onlyTheEngineThatFailedTheChatHasRoom_chatIsRefusedAsFull)
+BOOST_AUTO_TEST_CASE(onlyTheEngineThatFailedTheChatHasAFreeSlot_chatIsRefusedAsFull)
 {
     fillAllBut({Failed});
     for (int chat = 0; chat < Chats; ++chat) {
@@ -285,21 +287,21 @@
     }
 }
 
-// Engines that nobody can reach aren't full: that would tell the operator to add engines, and the
-// caller that the ones there are work.
-BOOST_AUTO_TEST_CASE(ownersKnowThatAllEnginesAreDown_chatIsRefusedForWantOfAnEngine)
+// Unreachable engines must not be reported as full: that would tell the operator to add engines,
+// and the caller that the existing ones work.
+BOOST_AUTO_TEST_CASE(ownersKnowThatAllEnginesAreDown_chatIsRefusedAsNoEngine)
 {
-    const auto permit = acquireAfterUnheardFailure(0, needOf(0), allBut({}));
+    const auto permit = acquireWithFailureKnownToOwnersOnly(0, needOf(0), allBut({}));
     BOOST_REQUIRE(!permit.has_value());
     BOOST_TEST((permit.error().code == outcome::ResultCode::NoEngine));
     BOOST_TEST((permit.error().comeBackIn > 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(ownersKnowThatAllEnginesAreDown_callerIsToldSoAndWhenToComeBack)
+BOOST_AUTO_TEST_CASE(ownersKnowThatAllEnginesAreDown_refusalSaysSoAndWhenToRetry)
 {
     std::vector<support::CallerAnswer> answers;
     fleet.await([this]() -> asio::awaitable<void> {
-        failUnheard(allBut({}));
+        failKnownToOwnersOnly(allBut({}));
         co_return;
     });
     fleet.forEach(Chats, Chats, [&](int chat) -> asio::awaitable<void> {
@@ -315,9 +317,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(allBoxesKnowThatAllEnginesAreDown_callerIsToldSoAndWhenToComeBack)
+BOOST_AUTO_TEST_CASE(allBoxesKnowThatAllEnginesAreDown_refusalSaysSoAndWhenToRetry)
 {
-    failUnheard(allBut({}));
+    failKnownToOwnersOnly(allBut({}));
     BOOST_REQUIRE(fleet.until([this] {
         const auto engines = allBut({});
         return std::ranges::none_of(engines, [this](std::size_t engine) {
@@ -351,15 +353,16 @@
     for (int chat = 0; chat < Chats; ++chat) {
         const std::size_t router = static_cast<std::size_t>(chat) % fleet.routerCount();
         const auto permit =
-                chat == 0 ? acquireAfterUnheardFailure((ownerOf(Failed) + 1) % fleet.routerCount(),
-                                                       needWithHome(Failed), {Failed})
+                chat == 0 ? acquireWithFailureKnownToOwnersOnly(
+                        (ownerOf(Failed) + 1) % fleet.routerCount(), needWithHome(Failed), {Failed})
                           : acquire(router, needOf(chat));
         BOOST_REQUIRE(!permit.has_value());
         BOOST_TEST((permit.error().code == outcome::ResultCode::EnginesFull));
     }
 }
 
-// The home tries its own engine itself and names only the others, which are down.
+// The router that owns the home engine tries that engine itself and names only the others, which
+// are down.
 BOOST_AUTO_TEST_CASE(homesOwnEngineIsFullAndTheRestAreDown_chatIsRefusedAsFull)
 {
     constexpr std::size_t Full = 0;
@@ -367,7 +370,7 @@
     const std::size_t home = ownerOf(Full);
     // All have the same load, so the chat's first candidate is the first choice.
     fillAllBut({});
-    const auto permit = acquireAfterUnheardFailure(home, need, allBut({Full}));
+    const auto permit = acquireWithFailureKnownToOwnersOnly(home, need, allBut({Full}));
     BOOST_REQUIRE(!permit.has_value());
     BOOST_TEST((permit.error().code == outcome::ResultCode::EnginesFull));
 }
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -1,5 +1,5 @@
-// The decisions of a gateway against plain references: route table, freshness, retry budget, event
-// cutter, part index and the book of backend servers.
+// The decisions of a gateway, compared with simple reference implementations: route table,
+// configuration freshness, retry budget, event splitting, part index and choice of backend servers.
 
 #include "forward/EventCutter.h"
 #include "forward/FleetRetryBudget.h"
@@ -64,22 +64,22 @@
     return requirements;
 }
 
-struct BookFixture
+struct TableFixture
 {
-    BookFixture()
+    TableFixture()
     {
         for (const char *id : {"s1", "s2", "s3", "s4"}) {
-            book.put(server(id, true));
+            table.put(server(id, true));
         }
     }
 
     std::string chosen(const ServerRequirements &requirements, kernel::Duration when = 0s)
     {
-        const auto choice = book.choose(requirements, at(when), random);
+        const auto choice = table.choose(requirements, at(when), random);
         return choice ? choice->server.id : "none";
     }
 
-    ServerTable book{ServerPolicy{}};
+    ServerTable table{ServerPolicy{}};
     std::mt19937_64 random{7};
 };
 
@@ -101,7 +101,7 @@
 
 BOOST_AUTO_TEST_SUITE(SnapshotTest)
 
-BOOST_AUTO_TEST_CASE(route_randomTables_isWhatTryingAllFinds)
+BOOST_AUTO_TEST_CASE(route_randomTables_matchesTryingAll)
 {
     std::mt19937_64 random(11);
     const std::vector<std::string> words = {"/",   "/a/",  "/a/b/", "/a/b/c/",
@@ -170,7 +170,7 @@
     BOOST_TEST(!Freshness(5s, UnconfirmedKeys::Refuse).usable(at(0s)));
 }
 
-BOOST_AUTO_TEST_CASE(usable_processStoodStillPastTheBound_isFalseAtOnce)
+BOOST_AUTO_TEST_CASE(usable_processStalledPastTheBound_isFalseAtOnce)
 {
     Freshness freshness(5s, UnconfirmedKeys::Refuse);
     freshness.confirm(at(0s));
@@ -189,12 +189,12 @@
 struct KeyCase
 {
     UnconfirmedKeys policy;
-    std::optional<kernel::Duration> age; ///< Of the confirmation; nothing: there was none.
+    std::optional<kernel::Duration> age; ///< Age of the confirmation; nothing: there was none.
     bool confirmed;
     bool usable;
 };
 
-BOOST_AUTO_TEST_CASE(usable_eachPolicyAndAge_followsTheTable)
+BOOST_AUTO_TEST_CASE(usable_eachPolicyAndAge_matchesTheTable)
 {
     const std::vector<KeyCase> cases = {
             {UnconfirmedKeys::Refuse, std::nullopt, false, false},
@@ -261,8 +261,9 @@
     BOOST_TEST(repeats.size() > 100U);
 }
 
-// Each part of a fleet that was cut in three used to take itself for the whole one.
-BOOST_AUTO_TEST_CASE(boxes_fleetCutInThree_partsTogetherStayWithinTheSlack)
+// Guards against each part of a fleet that is cut into three parts taking itself for the whole
+// fleet, so that together they spend the slack several times.
+BOOST_AUTO_TEST_CASE(boxes_fleetPartitionedInThree_partsTogetherStayWithinTheSlack)
 {
     constexpr double Slack = 54;
     std::size_t spent = 0;
@@ -283,7 +284,7 @@
     BOOST_TEST(spent >= Slack / 2);
 }
 
-BOOST_AUTO_TEST_CASE(fleetMemory_table_asStated)
+BOOST_AUTO_TEST_CASE(fleetSizeEstimate_exampleTable_matches)
 {
     FleetSizeEstimate fleet({.guess = 32, .guessFor = 3s, .rememberedFor = 60s});
     BOOST_TEST(fleet.note(1, at(0s)) == 32U);
@@ -335,7 +336,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(take_eventCutInTheMiddle_staysBehind)
+BOOST_AUTO_TEST_CASE(take_incompleteEvent_isKept)
 {
     EventCutter cutter;
     BOOST_TEST(cutter.take("id: 1\ndata: a\n\nid: 2\nda").size() == 1U);
@@ -381,7 +382,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_FIXTURE_TEST_SUITE(ServerTableTest, BookFixture)
+BOOST_FIXTURE_TEST_SUITE(ServerTableTest, TableFixture)
 
 BOOST_AUTO_TEST_CASE(choose_samePartsOnTwoBoxes_isTheSameServer)
 {
@@ -396,22 +397,23 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(choose_serverOverItsBound_isPassedOverAndItsPartsAreTaken)
+BOOST_AUTO_TEST_CASE(choose_serverOverItsBound_isSkippedAndItsPartsAreFetched)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
     for (int request = 0; request < 20; ++request) {
-        book.begin(first, &prompt, at(0s));
-        book.noteHeard(first, at(0s));
+        table.begin(first, &prompt, at(0s));
+        table.noteHeard(first, at(0s));
     }
-    const auto choice = book.choose(requirementsFor(&prompt), at(0s), random);
+    const auto choice = table.choose(requirementsFor(&prompt), at(0s), random);
     BOOST_TEST(choice->server.id != first);
     BOOST_REQUIRE(choice->takeFrom.has_value());
-    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(first)->address));
+    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(table.find(first)->address));
 }
 
-// After a scale-out a prompt may go to one newcomer, and the next in the order is another newcomer.
-BOOST_AUTO_TEST_CASE(choose_boxThatKnowsNoHolder_takesPartsFromTheServerBeforeTheNewcomers)
+// After a scale-out, both the chosen server and the next one in the prompt's order may be new, so
+// that neither holds the parts.
+BOOST_AUTO_TEST_CASE(choose_boxThatKnowsNoHolder_fetchesPartsFromTheServerBeforeTheNewOnes)
 {
     std::map<std::uint64_t, std::string> before;
     for (std::uint64_t part = 0; part < 200; ++part) {
@@ -419,28 +421,29 @@
         before[part] = chosen(requirementsFor(&prompt));
     }
     for (const char *id : {"new-1", "new-2", "new-3"}) {
-        book.put(server(id, true), at(0s));
+        table.put(server(id, true), at(0s));
     }
     int moved = 0;
     for (std::uint64_t part = 0; part < 200; ++part) {
         const Prompt prompt = promptOf({part, 99});
-        const auto choice = book.choose(requirementsFor(&prompt), at(2s), random);
+        const auto choice = table.choose(requirementsFor(&prompt), at(2s), random);
         if (choice->server.id == before[part]) {
             continue;
         }
         ++moved;
         BOOST_REQUIRE(choice->takeFrom.has_value());
         BOOST_TEST(kernel::text(*choice->takeFrom)
-                   == kernel::text(book.find(before[part])->address));
+                   == kernel::text(table.find(before[part])->address));
     }
     BOOST_TEST(moved > 50);
 }
 
-// A finding of the grown site: once the first three were full, all boxes sent to the fourth.
-BOOST_AUTO_TEST_CASE(choose_firstOnesFull_othersAreSharedOutAndNotTakenInTurn)
+// Guards against all boxes sending to the fourth server in the order once the first three were
+// full. Seen in a deployment that had grown.
+BOOST_AUTO_TEST_CASE(choose_firstOnesFull_othersAreChosenAtRandom)
 {
     for (int extra = 0; extra < 16; ++extra) {
-        book.put(server("more-" + std::to_string(extra), true));
+        table.put(server("more-" + std::to_string(extra), true));
     }
     const Prompt prompt = promptOf({1, 2});
     ServerRequirements requirements = requirementsFor(&prompt);
@@ -461,70 +464,70 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(choose_partsKnownToLieThere_takesThemFromNobody)
+BOOST_AUTO_TEST_CASE(choose_serverHoldsTheParts_fetchesThemFromNoOther)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
-    book.begin(first, &prompt, at(0s));
-    book.end(first);
-    BOOST_TEST(!book.choose(requirementsFor(&prompt), at(1s), random)->takeFrom.has_value());
+    table.begin(first, &prompt, at(0s));
+    table.end(first);
+    BOOST_TEST(!table.choose(requirementsFor(&prompt), at(1s), random)->takeFrom.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(choose_leavingServer_getsNothingButStillGivesItsParts)
+BOOST_AUTO_TEST_CASE(choose_leavingServer_getsNoRequestsButIsStillASourceOfParts)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
-    book.begin(first, &prompt, at(0s));
-    book.end(first);
-    ListedServer leaving = *book.find(first);
+    table.begin(first, &prompt, at(0s));
+    table.end(first);
+    ListedServer leaving = *table.find(first);
     leaving.leaving = true;
-    book.put(leaving);
-    const auto choice = book.choose(requirementsFor(&prompt), at(1s), random);
+    table.put(leaving);
+    const auto choice = table.choose(requirementsFor(&prompt), at(1s), random);
     BOOST_TEST(choice->server.id != first);
     BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(leaving.address));
 }
 
-BOOST_AUTO_TEST_CASE(choose_unreachableServer_isLeftAndTriedAgainAfterItsPause)
+BOOST_AUTO_TEST_CASE(choose_unreachableServer_isAvoidedAndTriedAgainAfterItsPause)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
-    book.noteFailure(first, Failure::Unreachable, at(0s));
+    table.noteFailure(first, Failure::Unreachable, at(0s));
     BOOST_TEST(chosen(requirementsFor(&prompt), 100ms) != first);
     BOOST_TEST(chosen(requirementsFor(&prompt), 300ms) == first);
     // One request at a time until one succeeds.
-    book.begin(first, &prompt, at(300ms));
+    table.begin(first, &prompt, at(300ms));
     BOOST_TEST(chosen(requirementsFor(&prompt), 301ms) != first);
-    book.noteSuccess(first, at(310ms));
-    book.end(first);
+    table.noteSuccess(first, at(310ms));
+    table.end(first);
     BOOST_TEST(chosen(requirementsFor(&prompt), 320ms) == first);
 }
 
-BOOST_AUTO_TEST_CASE(choose_serverFailsFarMoreThanTheOthers_isLeftForAWhile)
+BOOST_AUTO_TEST_CASE(choose_serverFailsFarMoreThanTheOthers_isAvoidedForAWhile)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
     for (int failure = 0; failure < 6; ++failure) {
-        book.noteFailure(first, Failure::Error, at(0s));
+        table.noteFailure(first, Failure::Error, at(0s));
     }
     BOOST_TEST(chosen(requirementsFor(&prompt), 100ms) != first);
     BOOST_TEST(chosen(requirementsFor(&prompt), 20s) == first);
 }
 
-BOOST_AUTO_TEST_CASE(choose_silentWhileAnswersAreDue_isLeft)
+BOOST_AUTO_TEST_CASE(choose_silentWhileAnswersArePending_isAvoided)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string first = chosen(requirementsFor(&prompt));
-    book.begin(first, &prompt, at(0s));
+    table.begin(first, &prompt, at(0s));
     BOOST_TEST(chosen(requirementsFor(&prompt), 500ms) == first);
     BOOST_TEST(chosen(requirementsFor(&prompt), 1s) != first);
-    book.noteHeard(first, at(1s));
+    table.noteHeard(first, at(1s));
     BOOST_TEST(chosen(requirementsFor(&prompt), 1100ms) == first);
 }
 
-BOOST_AUTO_TEST_CASE(choose_allDoubted_stillTakesOne)
+BOOST_AUTO_TEST_CASE(choose_allSuspected_stillChoosesOne)
 {
-    for (const std::string &id : book.ids()) {
-        book.noteFailure(id, Failure::Unreachable, at(0s));
+    for (const std::string &id : table.ids()) {
+        table.noteFailure(id, Failure::Unreachable, at(0s));
     }
     BOOST_TEST(chosen(requirementsFor()) != "none");
 }
@@ -532,7 +535,7 @@
 BOOST_AUTO_TEST_CASE(choose_allTriedOrOfOtherServices_isNothing)
 {
     ServerRequirements requirements = requirementsFor();
-    requirements.tried = book.ids();
+    requirements.tried = table.ids();
     BOOST_TEST(chosen(requirements) == "none");
     requirements = requirementsFor();
     requirements.service = "other";
@@ -552,34 +555,35 @@
     BOOST_TEST(pick() == "far");
 }
 
-// Servers are replaced all day. Each newcomer that came first in the order of some parts had them
-// moved to it, though the server that held them stood right behind.
-BOOST_AUTO_TEST_CASE(choose_newcomerComesFirst_holderNearItGoesOnUntilItIsFull)
+// Guards against needless moves of parts: servers are replaced all the time, and each new server
+// that came first in the order of some parts had them moved to it, although the server that held
+// them was next in the order.
+BOOST_AUTO_TEST_CASE(choose_newServerComesFirst_holderNextToItIsUsedUntilItIsFull)
 {
     const Prompt prompt = promptOf({1, 2});
     const std::string holder = chosen(requirementsFor(&prompt));
-    book.begin(holder, &prompt, at(0s));
-    book.end(holder);
+    table.begin(holder, &prompt, at(0s));
+    table.end(holder);
     std::string newcomer = holder;
     for (int number = 0; newcomer == holder; ++number) {
         const std::string id = "new-" + std::to_string(number);
-        book.put(server(id, true), at(1s));
-        newcomer = book.preferredServer(requirementsFor(&prompt))->id;
+        table.put(server(id, true), at(1s));
+        newcomer = table.preferredServer(requirementsFor(&prompt))->id;
         if (newcomer == holder) {
-            book.remove(id);
+            table.remove(id);
         }
     }
     BOOST_TEST(chosen(requirementsFor(&prompt), 1s) == holder);
     ServerRequirements full = requirementsFor(&prompt);
     full.full = {holder};
-    const auto moved = book.choose(full, at(1s), random);
+    const auto moved = table.choose(full, at(1s), random);
     BOOST_TEST(moved->server.id == newcomer);
-    BOOST_TEST((moved->takeFrom == book.find(holder)->address));
-    // One that only other boxes know to hold them.
+    BOOST_TEST((moved->takeFrom == table.find(holder)->address));
+    // A holder that only other boxes know.
     ServerRequirements told = requirementsFor(&prompt);
     told.holders = {static_cast<std::uint32_t>(kernel::hashOf(holder))};
-    book.remove(holder);
-    book.put(server(holder, true));
+    table.remove(holder);
+    table.put(server(holder, true));
     BOOST_TEST(chosen(told, 2s) == holder);
     BOOST_TEST(chosen(requirementsFor(&prompt), 2s) == newcomer);
 }
@@ -588,23 +592,23 @@
 
 BOOST_AUTO_TEST_SUITE(AllowedServersTest)
 
-// What a request may be given, whatever its engines' loads are: seeded wishes against the plain
-// rule, by trying each server.
-BOOST_AUTO_TEST_CASE(choose_drainedHallsBarredServersAndRegions_isNeverOutsideThem)
+// Compares the choice with a simple rule that tries each server, for seeded random requirements:
+// whatever the engines' loads are, the chosen server must be an allowed one.
+BOOST_AUTO_TEST_CASE(choose_drainedHallsBarredServersAndRegions_choosesOnlyAllowedServers)
 {
     std::mt19937_64 random(5);
     const std::vector<std::string> halls = {"a", "b", "c"};
     const std::map<std::string, std::string> regions = {{"a", "north"}, {"b", "north"}, {"c", "s"}};
     for (int round = 0; round < 300; ++round) {
-        ServerTable book{ServerPolicy{}};
-        book.setHallRegions(regions);
+        ServerTable table{ServerPolicy{}};
+        table.setHallRegions(regions);
         std::set<std::string> drained;
         for (const std::string &hall : halls) {
             if (random() % 3 == 0) {
                 drained.insert(hall);
             }
         }
-        book.setDrainedHalls(drained);
+        table.setDrainedHalls(drained);
         const Prompt prompt = promptOf({1, 2, 3});
         ServerRequirements requirements = requirementsFor(random() % 2 == 0 ? &prompt : nullptr);
         requirements.regions =
@@ -613,7 +617,7 @@
         for (int index = 0; index < 9; ++index) {
             ListedServer made = server("s" + std::to_string(index), true, halls[random() % 3]);
             made.leaving = random() % 8 == 0;
-            book.put(made);
+            table.put(made);
             const bool barred = random() % 6 == 0;
             if (barred) {
                 requirements.barred.push_back(made.id);
@@ -624,7 +628,7 @@
             }
         }
         requirements.spread = random() % 2 == 0;
-        const auto choice = book.choose(requirements, at(0s), random);
+        const auto choice = table.choose(requirements, at(0s), random);
         BOOST_TEST(choice.has_value() == !right.empty());
         if (choice) {
             BOOST_TEST(right.contains(choice->server.id));
@@ -632,23 +636,23 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(settleSource_holderStandsInADrainedHall_partsAreStillTakenFromIt)
+BOOST_AUTO_TEST_CASE(updateSource_holderIsInADrainedHall_partsAreStillFetchedFromIt)
 {
-    ServerTable book{ServerPolicy{}};
-    book.put(server("old", true, "a"));
-    book.put(server("new", true, "b"));
+    ServerTable table{ServerPolicy{}};
+    table.put(server("old", true, "a"));
+    table.put(server("new", true, "b"));
     const Prompt prompt = promptOf({1, 2, 3});
-    book.begin("old", &prompt, at(0s));
-    book.end("old");
-    book.setDrainedHalls({"a"});
+    table.begin("old", &prompt, at(0s));
+    table.end("old");
+    table.setDrainedHalls({"a"});
     std::mt19937_64 random(1);
-    const auto choice = book.choose(requirementsFor(&prompt), at(1s), random);
+    const auto choice = table.choose(requirementsFor(&prompt), at(1s), random);
     BOOST_REQUIRE(choice.has_value());
     BOOST_TEST(choice->server.id == "new");
-    BOOST_TEST((choice->takeFrom == book.find("old")->address));
+    BOOST_TEST((choice->takeFrom == table.find("old")->address));
 }
 
-BOOST_AUTO_TEST_CASE(homeRegions_routeAndOrganisation_bothBindWhereBothAreTold)
+BOOST_AUTO_TEST_CASE(homeRegions_routeAndOrganisation_bothApplyIfBothAreSet)
 {
     using Regions = std::vector<std::string>;
     BOOST_TEST((homeRegions({}, {}) == Regions()));
@@ -662,20 +666,20 @@
 
 namespace {
 
-/** Two halls with three servers each, the box in hall "a"; requests go out to all. */
-class CutHall
+/** Two halls with three servers each; the box is in a third one. Requests are sent to both. */
+class HallFixture
 {
 public:
-    CutHall()
+    HallFixture()
     {
         for (const char *hall : {"a", "b"}) {
             for (int index = 1; index <= 3; ++index) {
-                book.put(server(hall + std::to_string(index), false, hall));
+                table.put(server(hall + std::to_string(index), false, hall));
             }
         }
     }
 
-    /** Whether any of many choices at \a when falls on hall "b". */
+    /** Whether any of many choices at \a when is a server of hall "b". */
     bool chooses(kernel::Duration when)
     {
         ServerRequirements requirements;
@@ -683,119 +687,119 @@
         requirements.tried = {"a1", "a2"};
         bool found = false;
         for (int time = 0; time < 200; ++time) {
-            const auto choice = book.choose(requirements, at(when), random);
+            const auto choice = table.choose(requirements, at(when), random);
             found = found || choice->server.hall == "b";
         }
         return found;
     }
 
-    void quietWhileConnecting(const std::string &id, kernel::Duration when)
+    void noteNoResponse(const std::string &id, kernel::Duration when)
     {
-        book.noteAttempt(id, at(when));
-        book.noteFailure(id, Failure::NoResponse, at(when));
+        table.noteAttempt(id, at(when));
+        table.noteFailure(id, Failure::NoResponse, at(when));
     }
 
     ServerPolicy policy{.hall = "x"};
-    ServerTable book{policy};
+    ServerTable table{policy};
     std::mt19937_64 random{3};
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(CutHallTest)
+BOOST_AUTO_TEST_SUITE(HallReachabilityTest)
 
-BOOST_FIXTURE_TEST_CASE(twoServersSayNothing_theWholeHallIsLeftOut, CutHall)
+BOOST_FIXTURE_TEST_CASE(twoServersUnresponsive_wholeHallIsAvoided, HallFixture)
 {
-    book.noteHeard("b3", at(0s));
-    quietWhileConnecting("b1", 100ms);
+    table.noteHeard("b3", at(0s));
+    noteNoResponse("b1", 100ms);
     BOOST_TEST(chooses(110ms));
-    quietWhileConnecting("b2", 120ms);
+    noteNoResponse("b2", 120ms);
     BOOST_TEST(!chooses(130ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(oneServerSaysNothing_othersOfTheHallAreUsed, CutHall)
+BOOST_FIXTURE_TEST_CASE(oneServerUnresponsive_othersOfTheHallAreUsed, HallFixture)
 {
-    quietWhileConnecting("b1", 100ms);
-    quietWhileConnecting("b1", 120ms);
+    noteNoResponse("b1", 100ms);
+    noteNoResponse("b1", 120ms);
     BOOST_TEST(chooses(130ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherServerIsHeardSince_hallIsUsed, CutHall)
+BOOST_FIXTURE_TEST_CASE(bytesFromAnotherServerSince_hallIsUsed, HallFixture)
 {
-    quietWhileConnecting("b1", 100ms);
-    quietWhileConnecting("b2", 120ms);
-    book.noteHeard("b3", at(140ms));
+    noteNoResponse("b1", 100ms);
+    noteNoResponse("b2", 120ms);
+    table.noteHeard("b3", at(140ms));
     BOOST_TEST(chooses(150ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionsAreRefused_hallIsUsed, CutHall)
+BOOST_FIXTURE_TEST_CASE(connectionsAreRefused_hallIsUsed, HallFixture)
 {
     for (const char *id : {"b1", "b2"}) {
-        book.noteAttempt(id, at(100ms));
-        book.noteFailure(id, Failure::Unreachable, at(100ms));
+        table.noteAttempt(id, at(100ms));
+        table.noteFailure(id, Failure::Unreachable, at(100ms));
     }
     BOOST_TEST(chooses(110ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(runningRequestsGetNothing_theWholeHallIsLeftOut, CutHall)
+BOOST_FIXTURE_TEST_CASE(runningRequestsGetNoBytes_wholeHallIsAvoided, HallFixture)
 {
     for (const char *id : {"b1", "b2"}) {
-        book.noteAttempt(id, at(0s));
-        book.begin(id, nullptr, at(0s));
+        table.noteAttempt(id, at(0s));
+        table.begin(id, nullptr, at(0s));
     }
     BOOST_TEST(chooses(200ms));
-    book.noteAttempt("b1", at(300ms));
+    table.noteAttempt("b1", at(300ms));
     BOOST_TEST(!chooses(400ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(boxStoodStill_onlyTheTimeAwakeCountsAsSilence, CutHall)
+BOOST_FIXTURE_TEST_CASE(processWasStalled_onlyTheOtherTimeCountsAsSilence, HallFixture)
 {
     for (const char *id : {"b1", "b2"}) {
-        book.noteAttempt(id, at(0s));
-        book.begin(id, nullptr, at(0s));
-    }
-    book.noteAwake(at(50ms));
-    BOOST_TEST(!book.silent("b1", at(5s)));
-    book.noteAwake(at(5s));
-    // 200 ms are counted: 50 before the call, and 150 that may pass until the next one.
-    BOOST_TEST(!book.silent("b1", at(5040ms)));
-    BOOST_TEST(book.silent("b1", at(5060ms)));
-    book.noteAttempt("b1", at(5040ms));
+        table.noteAttempt(id, at(0s));
+        table.begin(id, nullptr, at(0s));
+    }
+    table.noteAwake(at(50ms));
+    BOOST_TEST(!table.silent("b1", at(5s)));
+    table.noteAwake(at(5s));
+    // 200 ms count: 50 before the call, and the 150 that may pass until the next one.
+    BOOST_TEST(!table.silent("b1", at(5040ms)));
+    BOOST_TEST(table.silent("b1", at(5060ms)));
+    table.noteAttempt("b1", at(5040ms));
     BOOST_TEST(!chooses(5060ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(doubtedHall_getsOneRequestEachWhileUntilItIsHeard, CutHall)
+BOOST_FIXTURE_TEST_CASE(suspectedHall_getsSingleRequestsUntilBytesArrive, HallFixture)
 {
-    quietWhileConnecting("b1", 100ms);
-    quietWhileConnecting("b2", 120ms);
+    noteNoResponse("b1", 100ms);
+    noteNoResponse("b2", 120ms);
     BOOST_TEST(!chooses(600ms));
     BOOST_TEST(chooses(630ms));
-    book.noteAttempt("b3", at(630ms));
+    table.noteAttempt("b3", at(630ms));
     BOOST_TEST(!chooses(640ms));
-    book.noteHeard("b3", at(650ms));
+    table.noteHeard("b3", at(650ms));
     BOOST_TEST(chooses(660ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(trialOfADoubtedHall_saysThatKeptConnectionsMayBeDead, CutHall)
+BOOST_FIXTURE_TEST_CASE(trialOfASuspectedHall_isMarkedAsTrial, HallFixture)
 {
-    quietWhileConnecting("b1", 100ms);
-    quietWhileConnecting("b2", 120ms);
+    noteNoResponse("b1", 100ms);
+    noteNoResponse("b2", 120ms);
     ServerRequirements requirements;
     requirements.service = "pool";
     requirements.tried = {"a1", "a2", "a3"};
-    BOOST_TEST(book.choose(requirements, at(2s), random)->trial);
+    BOOST_TEST(table.choose(requirements, at(2s), random)->trial);
     requirements.tried = {"b1", "b2", "b3"};
-    BOOST_TEST(!book.choose(requirements, at(2s), random)->trial);
+    BOOST_TEST(!table.choose(requirements, at(2s), random)->trial);
 }
 
-BOOST_FIXTURE_TEST_CASE(allHallsSayNothing_someServerIsTriedAllTheSame, CutHall)
+BOOST_FIXTURE_TEST_CASE(allHallsUnresponsive_someServerIsStillChosen, HallFixture)
 {
     for (const char *id : {"a1", "a2", "a3", "b1", "b2", "b3"}) {
-        quietWhileConnecting(id, 100ms);
+        noteNoResponse(id, 100ms);
     }
     ServerRequirements requirements;
     requirements.service = "pool";
-    BOOST_TEST(book.choose(requirements, at(110ms), random).has_value());
+    BOOST_TEST(table.choose(requirements, at(110ms), random).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/HolderIndexTest.cpp
+++ b/test/correctness/HolderIndexTest.cpp
@@ -1,4 +1,5 @@
-// Where shared prompt parts lie, as an owner remembers it, and what a box makes of an owner's word.
+// Which engines hold shared prompt parts, as recorded by an owner, and how a box uses an owner's
+// answer.
 
 #include "forward/HolderIndex.h"
 #include "forward/ServerTable.h"
@@ -17,10 +18,10 @@
     return kernel::Instant(1000s) + since;
 }
 
-class BookFixture
+class TableFixture
 {
 public:
-    BookFixture()
+    TableFixture()
     {
         for (std::uint16_t number = 1; number <= 6; ++number) {
             ListedServer server;
@@ -29,7 +30,7 @@
             server.address = {"10.0.0.1", number};
             server.slots = 8;
             server.engine = true;
-            book.put(server);
+            table.put(server);
         }
         prompt.model = "m";
         prompt.parts = {{1, 500}, {2, 10000}, {3, 900}};
@@ -43,7 +44,7 @@
         return static_cast<std::uint32_t>(kernel::hashOf(id));
     }
 
-    ServerTable book{ServerPolicy{}};
+    ServerTable table{ServerPolicy{}};
     Prompt prompt;
     ServerRequirements requirements;
     std::mt19937_64 random{1};
@@ -74,118 +75,121 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_FIXTURE_TEST_SUITE(HintedBookTest, BookFixture)
+BOOST_FIXTURE_TEST_SUITE(NamedHoldersTest, TableFixture)
 
-// A finding of both sites: parts had been sent to the third in the order, and a box that did not
-// know it had them taken from the first, which lacked them.
-BOOST_AUTO_TEST_CASE(choose_ownerNamesAHolder_partsAreTakenFromIt)
+// Guards against fetching parts from a server that lacks them, as seen in two deployments: the
+// parts had been sent to the third server in the order, and a box that didn't know this had them
+// fetched from the first one.
+BOOST_AUTO_TEST_CASE(choose_ownerNamesAHolder_partsAreFetchedFromIt)
 {
-    const auto guess = book.choose(requirements, at(0s), random);
+    const auto guess = table.choose(requirements, at(0s), random);
     std::string holder;
-    for (const std::string &id : book.ids()) {
-        const auto address = book.find(id)->address;
+    for (const std::string &id : table.ids()) {
+        const auto address = table.find(id)->address;
         if (id != guess->server.id && address != *guess->takeFrom) {
             holder = id;
         }
     }
     requirements.holders = {shortOf(holder)};
-    const auto choice = book.choose(requirements, at(0s), random);
+    const auto choice = table.choose(requirements, at(0s), random);
     BOOST_TEST(choice->server.id == guess->server.id);
     BOOST_REQUIRE(choice->takeFrom.has_value());
-    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(holder)->address));
+    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(table.find(holder)->address));
 }
 
-BOOST_AUTO_TEST_CASE(choose_chosenServerIsNamedAsHolder_takesFromNobody)
+BOOST_AUTO_TEST_CASE(choose_chosenServerIsNamedAsHolder_fetchesFromNoOther)
 {
-    const auto guess = book.choose(requirements, at(0s), random);
+    const auto guess = table.choose(requirements, at(0s), random);
     requirements.holders = {shortOf("s1"), shortOf(guess->server.id)};
-    const auto choice = book.choose(requirements, at(0s), random);
+    const auto choice = table.choose(requirements, at(0s), random);
     BOOST_TEST(!choice->takeFrom.has_value());
     BOOST_TEST(choice->held == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(settleSource_holdersHeardAfterTheChoice_areUsed)
+BOOST_AUTO_TEST_CASE(updateSource_holdersLearnedAfterTheChoice_areUsed)
 {
-    auto choice = book.choose(requirements, at(0s), random);
+    auto choice = table.choose(requirements, at(0s), random);
     const std::string other = choice->server.id == "s1" ? "s2" : "s1";
     requirements.holders = {shortOf(other)};
-    book.updateSource(requirements, *choice, at(0s));
-    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(book.find(other)->address));
+    table.updateSource(requirements, *choice, at(0s));
+    BOOST_TEST(kernel::text(*choice->takeFrom) == kernel::text(table.find(other)->address));
 }
 
-// The load: engines are added to a service whose parts lie, in part, past the first in the order,
-// since that one was full. A newcomer comes first now, its owner remembers nothing, and what would
-// have been first without it never had the parts: 124 of 165 wrong sources on a quiet day of 295
-// boxes, 302 of 564 on a day with trouble. The box that remembers for the first part tells.
-BOOST_AUTO_TEST_CASE(settleSource_newcomerComesFirst_boxThatRemembersNamesTheHolder)
+// Guards against fetching from the wrong server after engines are added. Some parts are at a server
+// that isn't the first in the order, since the first one was full. A new server now comes first,
+// its owner has no record, and the server that would be first without it never had the parts: 124
+// of 165 wrong sources on a quiet day of 295 boxes, 302 of 564 on a day with failures. The box that
+// keeps the index for the first part knows the holder.
+BOOST_AUTO_TEST_CASE(updateSource_newServerComesFirst_indexOfTheFirstPartNamesTheHolder)
 {
-    const auto before = book.preferredServer(requirements);
+    const auto before = table.preferredServer(requirements);
     std::string holder;
-    for (const std::string &id : book.ids()) {
+    for (const std::string &id : table.ids()) {
         holder = id != before->id ? id : holder;
     }
-    int newcomersFirst = 0;
+    int newServersFirst = 0;
     for (std::uint16_t number = 7; number <= 60; ++number) {
         ListedServer server = *before;
         server.id = "s" + std::to_string(number);
         server.address = {"10.0.0.1", number};
-        book.put(server, at(0s));
-        const auto first = book.preferredServer(requirements);
+        table.put(server, at(0s));
+        const auto first = table.preferredServer(requirements);
         if (first->id != server.id) {
             continue;
         }
-        ++newcomersFirst;
+        ++newServersFirst;
         Choice choice{*first, std::nullopt, 0, false};
         requirements.holders.clear();
-        book.updateSource(requirements, choice, at(1s));
-        BOOST_TEST(!book.sourceKnown(requirements, choice, at(1s)));
+        table.updateSource(requirements, choice, at(1s));
+        BOOST_TEST(!table.sourceKnown(requirements, choice, at(1s)));
         BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(before->address));
         requirements.holders = {shortOf(holder)};
-        book.updateSource(requirements, choice, at(1s));
-        BOOST_TEST(book.sourceKnown(requirements, choice, at(1s)));
-        BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(holder)->address));
+        table.updateSource(requirements, choice, at(1s));
+        BOOST_TEST(table.sourceKnown(requirements, choice, at(1s)));
+        BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(table.find(holder)->address));
     }
-    BOOST_TEST(newcomersFirst > 0);
+    BOOST_TEST(newServersFirst > 0);
 }
 
-// The load: 80 beginnings of prompts that 991 subjects share. A subject's first prompt goes to an
-// engine of its own, which reads a beginning that dozens of others hold.
-BOOST_AUTO_TEST_CASE(settleSource_subjectIsNew_beginningIsTakenFromWhoHoldsIt)
+// 991 subjects share 80 first parts of prompts. A subject's first prompt goes to an engine of its
+// own, which would read a first part that dozens of other engines hold.
+BOOST_AUTO_TEST_CASE(updateSource_subjectIsNew_firstPartIsFetchedFromAHolder)
 {
-    const auto chosen = book.preferredServer(requirements);
-    const std::string beginner = chosen->id == "s1" ? "s2" : "s1";
+    const auto chosen = table.preferredServer(requirements);
+    const std::string firstPartHolder = chosen->id == "s1" ? "s2" : "s1";
     Choice choice{*chosen, std::nullopt, 0, false};
-    requirements.firstPartHolders = {shortOf(chosen->id), shortOf(beginner)};
-    book.updateSource(requirements, choice, at(0s));
-    BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(beginner)->address));
-    // Who holds all of it goes first.
+    requirements.firstPartHolders = {shortOf(chosen->id), shortOf(firstPartHolder)};
+    table.updateSource(requirements, choice, at(0s));
+    BOOST_TEST(kernel::text(*choice.takeFrom)
+               == kernel::text(table.find(firstPartHolder)->address));
+    // A server that holds all parts is preferred.
     const std::string holder = chosen->id == "s3" ? "s4" : "s3";
     requirements.holders = {shortOf(holder)};
-    book.updateSource(requirements, choice, at(0s));
-    BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(book.find(holder)->address));
+    table.updateSource(requirements, choice, at(0s));
+    BOOST_TEST(kernel::text(*choice.takeFrom) == kernel::text(table.find(holder)->address));
 }
 
-BOOST_AUTO_TEST_CASE(firstFor_loadsAndDoubts_changeNothing)
+BOOST_AUTO_TEST_CASE(preferredServer_loadsAndSuspicions_changeNothing)
 {
-    const auto first = book.preferredServer(requirements);
+    const auto first = table.preferredServer(requirements);
     for (int request = 0; request < 30; ++request) {
-        book.begin(first->id, &prompt, at(0s));
+        table.begin(first->id, &prompt, at(0s));
     }
-    book.noteFailure(first->id, Failure::Unreachable, at(0s));
-    BOOST_TEST(book.preferredServer(requirements)->id == first->id);
-    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id != first->id);
+    table.noteFailure(first->id, Failure::Unreachable, at(0s));
+    BOOST_TEST(table.preferredServer(requirements)->id == first->id);
+    BOOST_TEST(table.choose(requirements, at(0s), random)->server.id != first->id);
 }
 
-BOOST_AUTO_TEST_CASE(choose_requestMayEndItsServer_goesWhereTheLeastIsLost)
+BOOST_AUTO_TEST_CASE(choose_requestMayCrashItsServer_goesToTheLeastLoadedOne)
 {
-    const auto usual = book.choose(requirements, at(0s), random);
+    const auto usual = table.choose(requirements, at(0s), random);
     for (std::uint16_t number = 1; number <= 6; ++number) {
         const std::string id = "s" + std::to_string(number);
-        book.setOthers(id, id == "s4" ? 0 : 1, at(0s));
+        table.setOthers(id, id == "s4" ? 0 : 1, at(0s));
     }
-    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id == usual->server.id);
+    BOOST_TEST(table.choose(requirements, at(0s), random)->server.id == usual->server.id);
     requirements.alone = true;
-    BOOST_TEST(book.choose(requirements, at(0s), random)->server.id == "s4");
+    BOOST_TEST(table.choose(requirements, at(0s), random)->server.id == "s4");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/PlaceLedgerTest.cpp
+++ b/test/correctness/PlaceLedgerTest.cpp
@@ -1,4 +1,4 @@
-// The owner's ledger of places on engines, alone and as a fleet that spreads a surge.
+// The ledger of places on engines: for one owner, and for a fleet that spreads a surge of requests.
 
 #include "forward/PlaceLedger.h"
 #include "forward/RecentCount.h"
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlaceLedgerTest)
 
-BOOST_AUTO_TEST_CASE(ask_idleFleet_grantsWhatStandsBesideTheMean)
+BOOST_AUTO_TEST_CASE(ask_idleFleet_grantsTheConstantBesideTheMean)
 {
     PlaceLedger ledger{PlacePolicy{}};
     for (std::uint64_t request = 1; request <= 3; ++request) {
@@ -48,10 +48,10 @@
     BOOST_TEST(ledger.load(7) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ask_fewBoxesHeard_meanIsReckonedForAll)
+BOOST_AUTO_TEST_CASE(ask_fewBoxesReported_meanIsEstimatedForAll)
 {
     PlaceLedger ledger{PlacePolicy{}};
-    // Two of twenty boxes say 4 and 8: 120 in all on 10 engines, a mean of 12.
+    // Two of twenty boxes report 4 and 8: 120 in all on 10 engines, a mean of 12.
     ledger.ask(askOf(1, 1, 4), {20, 10}, at(0s));
     ledger.ask(askOf(2, 2, 8), {20, 10}, at(0s));
     std::uint32_t granted = 2;
@@ -62,7 +62,7 @@
     BOOST_TEST(granted <= 2 * 12 + 3U);
 }
 
-BOOST_AUTO_TEST_CASE(expire_boxDied_itsPlacesComeBack)
+BOOST_AUTO_TEST_CASE(expire_boxDied_itsPlacesAreFreed)
 {
     PlaceLedger ledger{PlacePolicy{}};
     for (std::uint64_t request = 1; request <= 3; ++request) {
@@ -83,8 +83,8 @@
     BOOST_TEST(ledger.load(7) == 1U);
 }
 
-// A surge towards one engine: every box prefers it, and goes on down the same order when it is
-// full.
+// A surge of requests to one engine: every box prefers it, and tries the next ones in the same
+// order when it is full.
 BOOST_AUTO_TEST_CASE(ask_allBoxesPreferOneEngine_noneGoesOverTwiceTheMeanAndThree)
 {
     constexpr std::size_t Boxes = 20;
@@ -111,9 +111,9 @@
     BOOST_TEST(total >= 150U);
 }
 
-// As above, but with a ledger for each owner and callers that crowd at some boxes: the owners hear
-// mostly of busy boxes, as these ask more often.
-BOOST_AUTO_TEST_CASE(ask_busyBoxesAskMoreOften_meanIsNotTakenForTheirs)
+// As above, but with a ledger for each owner, and most callers at a few boxes: the owners get most
+// reports from busy boxes, as these ask more often.
+BOOST_AUTO_TEST_CASE(ask_busyBoxesAskMoreOften_meanIsNotThatOfBusyBoxes)
 {
     constexpr std::size_t Boxes = 85;
     constexpr std::size_t Engines = 60;
@@ -121,8 +121,8 @@
     constexpr int Requests = 3000;
     constexpr kernel::Duration Between = 4ms;
     constexpr kernel::Duration Runs = 1200ms;
-    constexpr kernel::Duration Settling = 1s; ///< Until words of enough boxes were heard.
-    constexpr int MostOver = 3;               ///< In 100.
+    constexpr kernel::Duration Settling = 1s; ///< Until enough boxes have reported.
+    constexpr int MostOver = 3;               ///< Percentage of grants.
     std::mt19937_64 random(11);
     std::vector<PlaceLedger> owners(Engines, PlaceLedger(PlacePolicy{}));
     std::vector<std::uint32_t> boxLoads(Boxes);
@@ -150,7 +150,7 @@
             running.pop_front();
         }
         const std::size_t box = callers(random);
-        // All boxes try the engines of a few wanted parts in the same order.
+        // All boxes try the engines in the same order, which begins at one of six.
         const std::size_t first = (random() % 6) * 10;
         for (std::size_t step = 0; step < Engines; ++step) {
             const std::size_t engine = (first + step) % Engines;
--- a/test/correctness/RequestIdentityTest.cpp
+++ b/test/correctness/RequestIdentityTest.cpp
@@ -1,4 +1,4 @@
-// By what a request is known again when it comes once more.
+// Recognising a request that is sent again.
 
 #include "forward/RequestIdentity.h"
 
--- a/test/correctness/RestingServersTest.cpp
+++ b/test/correctness/RestingServersTest.cpp
@@ -1,4 +1,5 @@
-// The choice of a server while some rest, against a plain rule: none of those that rest.
+// The choice of a server while some have asked for backoff, compared with a simple rule: none of
+// those.
 
 #include "forward/ServerTable.h"
 
@@ -31,24 +32,24 @@
 struct Servers
 {
     explicit Servers(std::size_t count)
-        : book([&] {
+        : table([&] {
             ServerPolicy policy;
             policy.hall = "hall-0";
             return policy;
         }())
     {
         for (std::size_t number = 0; number < count; ++number) {
-            book.put(serverOf(number));
+            table.put(serverOf(number));
         }
         requirements.service = "pool";
     }
 
     std::optional<Choice> choose(kernel::Instant now)
     {
-        return book.choose(requirements, now, random);
+        return table.choose(requirements, now, random);
     }
 
-    ServerTable book;
+    ServerTable table;
     ServerRequirements requirements;
     std::mt19937_64 random{1};
 };
@@ -57,133 +58,133 @@
 
 BOOST_AUTO_TEST_SUITE(RestingServersTest)
 
-BOOST_AUTO_TEST_CASE(choose_randomHistories_neverOneThatRestsAndOneIfAnyDoesNot)
+BOOST_AUTO_TEST_CASE(choose_randomHistories_neverOneInBackoffAndOneIfAnyIsNot)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         std::mt19937_64 random(seed);
         Servers servers(2 + random() % 12);
-        std::map<std::string, kernel::Instant> rests;
+        std::map<std::string, kernel::Instant> backoffs;
         kernel::Instant now = Start;
         for (int step = 0; step < 100; ++step) {
             now += std::chrono::milliseconds(random() % 400);
-            const std::string id = "i-" + std::to_string(random() % servers.book.ids().size());
+            const std::string id = "i-" + std::to_string(random() % servers.table.ids().size());
             if (random() % 3 == 0) {
                 const auto asked = std::chrono::milliseconds(random() % 5000);
-                servers.book.noteBackoff(*servers.book.find(id), asked, now);
-                rests[id] = std::max(rests[id], now + asked);
+                servers.table.noteBackoff(*servers.table.find(id), asked, now);
+                backoffs[id] = std::max(backoffs[id], now + asked);
             }
             if (random() % 3 == 0) {
-                servers.book.noteFailure(id, Failure::Full, now);
+                servers.table.noteFailure(id, Failure::Full, now);
             }
             if (random() % 5 == 0) {
-                // Its entry lapses and is back.
-                const ListedServer server = *servers.book.find(id);
-                servers.book.remove(id);
-                servers.book.put(server, now);
+                // Its entry disappears and returns.
+                const ListedServer server = *servers.table.find(id);
+                servers.table.remove(id);
+                servers.table.put(server, now);
             }
-            servers.book.noteAwake(now);
+            servers.table.noteAwake(now);
             const Prompt prompt = promptOf(random() % 5);
             servers.requirements.prompt = random() % 2 == 0 ? &prompt : nullptr;
             servers.requirements.spread = random() % 4 == 0;
             const bool allBackingOff =
                     static_cast<std::size_t>(std::ranges::count_if(
-                            rests, [now](const auto &rest) { return rest.second > now; }))
-                    == servers.book.ids().size();
+                            backoffs, [now](const auto &backoff) { return backoff.second > now; }))
+                    == servers.table.ids().size();
             const auto choice = servers.choose(now);
             BOOST_REQUIRE(choice.has_value() != allBackingOff);
-            BOOST_REQUIRE(servers.book.allBackingOff(servers.requirements, now) == allBackingOff);
+            BOOST_REQUIRE(servers.table.allBackingOff(servers.requirements, now) == allBackingOff);
             if (choice) {
-                BOOST_REQUIRE((rests[choice->server.id] <= now));
-                BOOST_REQUIRE(servers.book.mayBeSent(choice->server, now));
+                BOOST_REQUIRE((backoffs[choice->server.id] <= now));
+                BOOST_REQUIRE(servers.table.mayBeSent(choice->server, now));
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(mayBeSent_restsSinceItWasChosen_isNot)
+BOOST_AUTO_TEST_CASE(mayBeSent_inBackoffSinceItWasChosen_isFalse)
 {
     Servers servers(1);
     const auto choice = servers.choose(Start);
     BOOST_REQUIRE(choice.has_value());
-    servers.book.noteBackoff(serverOf(0), 3s, Start);
-    BOOST_TEST(!servers.book.mayBeSent(choice->server, Start));
-    BOOST_TEST(!servers.book.mayBeSent(choice->server, Start + 2999ms));
-    BOOST_TEST(servers.book.mayBeSent(choice->server, Start + 3s));
+    servers.table.noteBackoff(serverOf(0), 3s, Start);
+    BOOST_TEST(!servers.table.mayBeSent(choice->server, Start));
+    BOOST_TEST(!servers.table.mayBeSent(choice->server, Start + 2999ms));
+    BOOST_TEST(servers.table.mayBeSent(choice->server, Start + 3s));
 }
 
-BOOST_AUTO_TEST_CASE(put_newLifeOfTheSameId_doesNotRest)
+BOOST_AUTO_TEST_CASE(put_newIncarnationOfTheSameId_isNotInBackoff)
 {
     Servers servers(0);
     ListedServer server = serverOf(0);
     server.startNumber = 1;
-    servers.book.put(server);
-    servers.book.noteBackoff(server, 30s, Start);
+    servers.table.put(server);
+    servers.table.noteBackoff(server, 30s, Start);
     server.startNumber = 2;
-    servers.book.put(server);
-    BOOST_TEST(servers.book.mayBeSent(server, Start));
+    servers.table.put(server);
+    BOOST_TEST(servers.table.mayBeSent(server, Start));
 }
 
-BOOST_AUTO_TEST_CASE(noteRest_lateWordOfAnEarlierLife_doesNotBindTheNewOne)
+BOOST_AUTO_TEST_CASE(noteBackoff_lateRequestOfAnEarlierIncarnation_doesNotAffectTheNewOne)
 {
     Servers servers(0);
     ListedServer server = serverOf(0);
     server.startNumber = 2;
-    servers.book.put(server);
+    servers.table.put(server);
     ListedServer earlier = server;
     earlier.startNumber = 1;
-    servers.book.noteBackoff(earlier, 30s, Start);
-    BOOST_TEST(servers.book.noteLeaving(earlier, Start));
-    BOOST_TEST(servers.book.mayBeSent(server, Start));
+    servers.table.noteBackoff(earlier, 30s, Start);
+    BOOST_TEST(servers.table.noteLeaving(earlier, Start));
+    BOOST_TEST(servers.table.mayBeSent(server, Start));
 }
 
-BOOST_AUTO_TEST_CASE(noteLeaving_listSaysOtherwiseOrLosesIt_staysSaid)
+BOOST_AUTO_TEST_CASE(noteLeaving_listDisagreesOrOmitsIt_staysLeaving)
 {
     Servers servers(2);
-    BOOST_TEST(servers.book.noteLeaving(serverOf(0), Start));
-    BOOST_TEST(!servers.book.noteLeaving(serverOf(0), Start));
-    servers.book.put(serverOf(0));
-    BOOST_TEST(!servers.book.mayBeSent(serverOf(0), Start));
-    servers.book.remove("i-0");
-    servers.book.noteAwake(Start + 300s);
-    servers.book.put(serverOf(0));
-    BOOST_TEST(!servers.book.mayBeSent(serverOf(0), Start + 300s));
+    BOOST_TEST(servers.table.noteLeaving(serverOf(0), Start));
+    BOOST_TEST(!servers.table.noteLeaving(serverOf(0), Start));
+    servers.table.put(serverOf(0));
+    BOOST_TEST(!servers.table.mayBeSent(serverOf(0), Start));
+    servers.table.remove("i-0");
+    servers.table.noteAwake(Start + 300s);
+    servers.table.put(serverOf(0));
+    BOOST_TEST(!servers.table.mayBeSent(serverOf(0), Start + 300s));
     for (int turn = 0; turn < 20; ++turn) {
         BOOST_TEST(servers.choose(Start + 300s)->server.id == "i-1");
     }
-    // As long as it is listed.
-    servers.book.noteAwake(Start + 2000s);
-    servers.book.put(serverOf(0));
-    BOOST_TEST(!servers.book.mayBeSent(serverOf(0), Start + 2000s));
+    // The announcement holds as long as the server is listed.
+    servers.table.noteAwake(Start + 2000s);
+    servers.table.put(serverOf(0));
+    BOOST_TEST(!servers.table.mayBeSent(serverOf(0), Start + 2000s));
 }
 
-BOOST_AUTO_TEST_CASE(noteAwake_boxStoodStill_doesNotMakeTheRestLonger)
+BOOST_AUTO_TEST_CASE(noteAwake_processWasStalled_doesNotExtendTheBackoff)
 {
     Servers servers(1);
-    servers.book.noteAwake(Start);
-    servers.book.noteBackoff(serverOf(0), 3s, Start);
-    servers.book.noteAwake(Start + 10s);
-    BOOST_TEST((servers.book.backoffLeft("i-0", Start + 10s) == kernel::Duration(0)));
+    servers.table.noteAwake(Start);
+    servers.table.noteBackoff(serverOf(0), 3s, Start);
+    servers.table.noteAwake(Start + 10s);
+    BOOST_TEST((servers.table.backoffLeft("i-0", Start + 10s) == kernel::Duration(0)));
 }
 
-BOOST_AUTO_TEST_CASE(choose_serversAskForRest_noneIsSentMoreThanItHasPlaces)
+BOOST_AUTO_TEST_CASE(choose_serversAskForBackoff_noneIsSentMoreThanItHasSlots)
 {
     Servers servers(2);
     const auto fill = [&](const std::string &id, int requests) {
         for (int request = 0; request < requests; ++request) {
-            servers.book.begin(id, nullptr, Start);
+            servers.table.begin(id, nullptr, Start);
         }
     };
     fill("i-0", 8);
     fill("i-1", 8);
     BOOST_TEST(servers.choose(Start).has_value());
-    servers.book.noteBackoff(serverOf(0), 300ms, Start);
+    servers.table.noteBackoff(serverOf(0), 300ms, Start);
     BOOST_TEST(!servers.choose(Start).has_value());
-    BOOST_TEST(!servers.book.allBackingOff(servers.requirements, Start));
-    servers.book.end("i-1");
+    BOOST_TEST(!servers.table.allBackingOff(servers.requirements, Start));
+    servers.table.end("i-1");
     BOOST_TEST(servers.choose(Start)->server.id == "i-1");
     fill("i-1", 1);
     BOOST_TEST(!servers.choose(Start + 59s).has_value());
-    servers.book.noteAwake(Start + 60s);
+    servers.table.noteAwake(Start + 60s);
     BOOST_TEST(servers.choose(Start + 60s).has_value());
 }
 
--- a/test/correctness/ServerChoiceTest.cpp
+++ b/test/correctness/ServerChoiceTest.cpp
@@ -1,5 +1,5 @@
-// The choice among many backend servers against the rule written plainly, which walks over all of
-// them: seeded histories of listings, requests, failures and silences.
+// Compares the choice among many backend servers with the same rule written as simple loops over
+// all servers, for seeded histories of listings, requests, failures and silences.
 
 #include "forward/ServerTable.h"
 #include "kernel/decisions/Name.h"
@@ -22,8 +22,8 @@
     return kernel::Instant(1000s) + since;
 }
 
-/** What the plain rule knows of a server. */
-struct PlainServer
+/** The state of a server for the reference implementation. */
+struct ReferenceServer
 {
     ListedServer listed;
     std::uint32_t own = 0;
@@ -45,40 +45,41 @@
     return left < 0.01 ? 0 : left;
 }
 
-/** The rule, by walks over all servers. Without standstills and holders of parts. */
-class PlainBook
+/** The reference implementation, by loops over all servers. Without stalls and holders of parts. */
+class ReferenceTable
 {
 public:
-    explicit PlainBook(ServerPolicy policy)
+    explicit ReferenceTable(ServerPolicy policy)
         : policy_(std::move(policy))
     {
     }
 
-    double load(const PlainServer &server, kernel::Instant now) const
+    double load(const ReferenceServer &server, kernel::Instant now) const
     {
         return server.own + faded(server.others, now - server.othersAt, 1.5);
     }
 
-    double errors(const PlainServer &server, kernel::Instant now) const
+    double errors(const ReferenceServer &server, kernel::Instant now) const
     {
         return faded(server.errors, now - server.errorsAt, 4);
     }
 
-    bool silent(const PlainServer &server, kernel::Instant now) const
+    bool silent(const ReferenceServer &server, kernel::Instant now) const
     {
         const auto since = std::max(server.lastHeard, server.dueSince);
         const auto most = server.listed.engine ? policy_.engineSilence : policy_.silence;
         return server.own > 0 && now - since > most;
     }
 
-    bool isSuspected(const PlainServer &server, kernel::Instant now) const
+    bool isSuspected(const ReferenceServer &server, kernel::Instant now) const
     {
         return now < server.suspectedUntil || (server.failuresInARow > 0 && server.own > 0)
                || silent(server, now);
     }
 
-    /** Whether so many servers of the hall say nothing that the way to it is doubted. */
-    bool hallDoubted(const std::string &hall, kernel::Instant now) const
+    /** Whether so many servers of the hall are unresponsive that the network path to it is
+     * suspected. */
+    bool hallSuspected(const std::string &hall, kernel::Instant now) const
     {
         const kernel::Instant heard = heard_.contains(hall) ? heard_.at(hall) : kernel::Instant();
         std::size_t quiet = 0;
@@ -94,13 +95,13 @@
     {
         const auto last = attempts.find(hall);
         return last != attempts.end() && now - last->second < policy_.hallTrial
-               && hallDoubted(hall, now);
+               && hallSuspected(hall, now);
     }
 
-    std::vector<const PlainServer *> usable(const ServerRequirements &requirements,
-                                            kernel::Instant now) const
+    std::vector<const ReferenceServer *> usable(const ServerRequirements &requirements,
+                                                kernel::Instant now) const
     {
-        std::vector<const PlainServer *> listed;
+        std::vector<const ReferenceServer *> listed;
         double errorSum = 0;
         for (const auto &[id, server] : servers) {
             const bool tried =
@@ -112,9 +113,9 @@
             }
         }
         const double mean = listed.empty() ? 0 : errorSum / static_cast<double>(listed.size());
-        std::vector<const PlainServer *> good;
-        std::vector<const PlainServer *> fair;
-        for (const PlainServer *server : listed) {
+        std::vector<const ReferenceServer *> good;
+        std::vector<const ReferenceServer *> fair;
+        for (const ReferenceServer *server : listed) {
             if (isSuspected(*server, now) || hallClosed(server->listed.hall, now)) {
                 continue;
             }
@@ -126,7 +127,7 @@
         return !good.empty() ? good : !fair.empty() ? fair : listed;
     }
 
-    double cost(const PlainServer &server, kernel::Instant now) const
+    double cost(const ReferenceServer &server, kernel::Instant now) const
     {
         return load(server, now) / std::max<std::uint32_t>(1, server.listed.slots)
                + errors(server, now) + (server.listed.hall == policy_.hall ? 0 : 0.25);
@@ -138,7 +139,7 @@
         const auto entries = usable(requirements, now);
         double sum = 0;
         std::vector<std::uint64_t> hashes;
-        for (const PlainServer *server : entries) {
+        for (const ReferenceServer *server : entries) {
             sum += load(*server, now);
             hashes.push_back(server->listed.hash());
         }
@@ -153,7 +154,7 @@
         return {};
     }
 
-    void noteFailure(PlainServer &server, Failure failure, kernel::Instant now)
+    void noteFailure(ReferenceServer &server, Failure failure, kernel::Instant now)
     {
         if (failure == Failure::Full) {
             server.fullUntil = now + 150ms;
@@ -170,7 +171,7 @@
         }
     }
 
-    void noteSuccess(PlainServer &server, kernel::Instant now)
+    void noteSuccess(ReferenceServer &server, kernel::Instant now)
     {
         server.failuresInARow = 0;
         server.suspectedUntil = now;
@@ -178,13 +179,13 @@
         server.errorsAt = now;
     }
 
-    void noteHeard(PlainServer &server, kernel::Instant now)
+    void noteHeard(ReferenceServer &server, kernel::Instant now)
     {
         server.lastHeard = now;
         heard_[server.listed.hall] = now;
     }
 
-    std::map<std::string, PlainServer> servers;
+    std::map<std::string, ReferenceServer> servers;
     std::map<std::string, kernel::Instant> attempts;
     std::set<std::string> drained;
 
@@ -193,7 +194,7 @@
     std::map<std::string, kernel::Instant> heard_;
 };
 
-/** One history, played on both books. */
+/** One history, applied to both implementations. */
 class History
 {
 public:
@@ -211,7 +212,7 @@
         for (int step = 0; step < 300; ++step) {
             now_ += std::chrono::milliseconds(random_() % 60);
             change();
-            book_.noteAwake(now_);
+            table_.noteAwake(now_);
             compare();
         }
     }
@@ -226,67 +227,67 @@
         made.hall = std::string(1, static_cast<char>('a' + random_() % 3));
         made.slots = made.engine ? 64 : 6;
         made.leaving = random_() % 10 == 0;
-        book_.put(made, now_);
-        plain_.servers[id].listed = made;
+        table_.put(made, now_);
+        reference_.servers[id].listed = made;
     }
 
-    PlainServer &any()
+    ReferenceServer &any()
     {
-        auto place = plain_.servers.begin();
-        std::advance(place, static_cast<std::ptrdiff_t>(random_() % plain_.servers.size()));
+        auto place = reference_.servers.begin();
+        std::advance(place, static_cast<std::ptrdiff_t>(random_() % reference_.servers.size()));
         return place->second;
     }
 
     void change()
     {
-        PlainServer &server = any();
+        ReferenceServer &server = any();
         const std::string id = server.listed.id;
         switch (random_() % 12) {
         case 0:
             list(random_() % 2 == 0 ? id : "new-" + std::to_string(random_() % 20));
             break;
         case 1:
-            if (plain_.servers.size() > 3) {
-                book_.remove(id);
-                plain_.servers.erase(id);
+            if (reference_.servers.size() > 3) {
+                table_.remove(id);
+                reference_.servers.erase(id);
             }
             break;
         case 2:
-            plain_.drained =
+            reference_.drained =
                     random_() % 4 == 0 ? std::set<std::string>{"b"} : std::set<std::string>();
-            book_.setDrainedHalls(plain_.drained);
+            table_.setDrainedHalls(reference_.drained);
             break;
         case 3:
         case 4:
             server.dueSince = server.own == 0 ? now_ : server.dueSince;
             ++server.own;
-            book_.begin(id, nullptr, now_);
+            table_.begin(id, nullptr, now_);
             break;
         case 5:
             server.own -= server.own > 0 ? 1 : 0;
-            book_.end(id);
+            table_.end(id);
             break;
         case 6:
             server.others = static_cast<double>(random_() % 20);
             server.othersAt = now_;
-            book_.setOthers(id, server.others, now_);
+            table_.setOthers(id, server.others, now_);
             break;
         case 7:
-            plain_.attempts[server.listed.hall] = now_;
-            book_.noteAttempt(id, now_);
+            reference_.attempts[server.listed.hall] = now_;
+            table_.noteAttempt(id, now_);
             break;
         case 8:
-            plain_.noteHeard(server, now_);
-            book_.noteHeard(id, now_);
+            reference_.noteHeard(server, now_);
+            table_.noteHeard(id, now_);
             break;
         case 9:
-            plain_.noteSuccess(server, now_);
-            book_.noteSuccess(id, now_);
+            reference_.noteSuccess(server, now_);
+            table_.noteSuccess(id, now_);
             break;
         default:
             const auto failure = static_cast<Failure>(random_() % 6);
-            plain_.noteFailure(server, failure, now_);
-            book_.noteFailure(id, failure, now_);
+            reference_.noteFailure(server, failure, now_);
+            table_.noteFailure(id, failure, now_);
         }
     }
 
@@ -301,40 +302,40 @@
         if (random_() % 3 == 0) {
             requirements.tried = {any().listed.id, any().listed.id};
         }
-        const auto engines = plain_.usable(requirements, now_);
-        const auto engine = book_.choose(requirements, now_, random_);
+        const auto engines = reference_.usable(requirements, now_);
+        const auto engine = table_.choose(requirements, now_, random_);
         BOOST_REQUIRE(engine.has_value() == !engines.empty());
-        if (engine && engine->server.id != plain_.forPrompt(requirements, now_)) {
-            // All are over the bound: the least loaded one.
-            BOOST_REQUIRE(plain_.forPrompt(requirements, now_).empty());
+        if (engine && engine->server.id != reference_.forPrompt(requirements, now_)) {
+            // All are over the bound; the least loaded one is chosen.
+            BOOST_REQUIRE(reference_.forPrompt(requirements, now_).empty());
         }
         requirements.service = "plain";
         requirements.prompt = nullptr;
         comparePlain(requirements);
-        BOOST_REQUIRE(book_.ownLoad("pool") + book_.ownLoad("plain") == ownLoad());
-        const PlainServer &one = any();
-        BOOST_REQUIRE(book_.isSuspected(one.listed.id, now_) == plain_.isSuspected(one, now_));
+        BOOST_REQUIRE(table_.ownLoad("pool") + table_.ownLoad("plain") == ownLoad());
+        const ReferenceServer &one = any();
+        BOOST_REQUIRE(table_.isSuspected(one.listed.id, now_) == reference_.isSuspected(one, now_));
     }
 
     void comparePlain(const ServerRequirements &requirements)
     {
-        const auto usable = plain_.usable(requirements, now_);
-        const auto choice = book_.choose(requirements, now_, random_);
+        const auto usable = reference_.usable(requirements, now_);
+        const auto choice = table_.choose(requirements, now_, random_);
         BOOST_REQUIRE(choice.has_value() == !usable.empty());
         if (!choice) {
             return;
         }
-        const PlainServer &chosen = plain_.servers.at(choice->server.id);
+        const ReferenceServer &chosen = reference_.servers.at(choice->server.id);
         BOOST_REQUIRE(std::ranges::find(usable, &chosen) != usable.end());
-        for (const PlainServer *other : usable) {
-            BOOST_REQUIRE(plain_.cost(chosen, now_) <= plain_.cost(*other, now_) + 1e-9);
+        for (const ReferenceServer *other : usable) {
+            BOOST_REQUIRE(reference_.cost(chosen, now_) <= reference_.cost(*other, now_) + 1e-9);
         }
     }
 
     std::uint32_t ownLoad() const
     {
         std::uint32_t sum = 0;
-        for (const auto &[id, server] : plain_.servers) {
+        for (const auto &[id, server] : reference_.servers) {
             sum += server.own;
         }
         return sum;
@@ -343,8 +344,8 @@
     std::mt19937_64 random_;
     kernel::Instant now_ = at(0s);
     ServerPolicy policy_{.hall = "a"};
-    ServerTable book_{policy_};
-    PlainBook plain_{policy_};
+    ServerTable table_{policy_};
+    ReferenceTable reference_{policy_};
 };
 
 /** A table of servers with random hashes. */
@@ -371,7 +372,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServerChoiceTest)
 
-BOOST_AUTO_TEST_CASE(choose_seededHistories_isWhatWalkingOverAllFinds)
+BOOST_AUTO_TEST_CASE(choose_seededHistories_matchesTheReference)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
@@ -399,7 +400,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(next_someServersAreWanted_theOthersAreLeftOut)
+BOOST_AUTO_TEST_CASE(next_someServersAreWanted_theOthersAreSkipped)
 {
     const Table all(500);
     const auto odd = [](const ServerRecord &record) { return record.hash % 2 == 1; };
@@ -414,7 +415,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(next_serversComeAndGo_isTheOrderOfThoseThatAreThere)
+BOOST_AUTO_TEST_CASE(next_serversAddedAndRemoved_isTheOrderOfTheListedOnes)
 {
     Table all(100);
     std::mt19937_64 random(4);
@@ -437,9 +438,9 @@
     }
 }
 
-// A request among ten thousand servers once looked at each of them several times. What is asked of
-// a server is asked of those at the front of the order only.
-BOOST_AUTO_TEST_CASE(next_tenThousandServers_asksOneOfThem)
+// Guards against evaluating the condition for all of ten thousand servers several times a request.
+// Only servers at the front of the order may be evaluated.
+BOOST_AUTO_TEST_CASE(next_tenThousandServers_evaluatesOneOfThem)
 {
     const Table all(10000);
     std::size_t asked = 0;
