--- a/src/forward/BackoffTable.cpp
+++ b/src/forward/BackoffTable.cpp
@@ -14,8 +14,8 @@
 
 kernel::Instant BackoffTable::until(std::uint64_t incarnationKey) const
 {
-    const auto place = until_.find(incarnationKey);
-    return place == until_.end() ? kernel::Instant() : place->second;
+    const auto it = until_.find(incarnationKey);
+    return it == until_.end() ? kernel::Instant() : it->second;
 }
 
 void BackoffTable::expire(kernel::Instant now)
--- a/src/forward/ColdRateLimiter.cpp
+++ b/src/forward/ColdRateLimiter.cpp
@@ -39,8 +39,8 @@
 
 ColdRateLimiter::Grants &ColdRateLimiter::grantsOf(std::uint64_t server, kernel::Instant now)
 {
-    const auto [place, added] = grants_.try_emplace(server);
-    Grants &grants = place->second;
+    const auto [it, added] = grants_.try_emplace(server);
+    Grants &grants = it->second;
     if (added || now - grants.lastAsked >= policy_.window) {
         grants.askedSince = now;
     }
--- a/src/forward/CrashTable.cpp
+++ b/src/forward/CrashTable.cpp
@@ -79,32 +79,31 @@
 
 SendRestriction CrashTable::restriction(const RequestIdentity &request, kernel::Instant now)
 {
-    const auto place = entries_.find(request);
-    if (place == entries_.end()) {
+    const auto it = entries_.find(request);
+    if (it == entries_.end()) {
         return SendRestriction::Free;
     }
-    if (!isCleared(place->second.record)) {
-        place->second.changed = now;
+    if (!isCleared(it->second.record)) {
+        it->second.changed = now;
     }
-    return restriction(place->second, now);
+    return restriction(it->second, now);
 }
 
 kernel::Duration CrashTable::stoppedFor(const RequestIdentity &request, kernel::Instant now) const
 {
-    const auto place = entries_.find(request);
-    if (place == entries_.end() || restriction(place->second, now) != SendRestriction::Stopped) {
+    const auto it = entries_.find(request);
+    if (it == entries_.end() || restriction(it->second, now) != SendRestriction::Stopped) {
         return kernel::Duration::zero();
     }
-    const kernel::Instant until =
-            place->second.stoppedAt + hold(netFailedTrials(place->second.record));
+    const kernel::Instant until = it->second.stoppedAt + hold(netFailedTrials(it->second.record));
     return std::max<kernel::Duration>(until - now, 1s);
 }
 
 CrashTable::Entry &CrashTable::entry(const RequestIdentity &request)
 {
-    const auto place = entries_.find(request);
-    if (place != entries_.end()) {
-        return place->second;
+    const auto it = entries_.find(request);
+    if (it != entries_.end()) {
+        return it->second;
     }
     evictLeastRelevant();
     ++shapes_[request.shape];
@@ -183,8 +182,8 @@
 
 CrashRecord CrashTable::record(const RequestIdentity &request) const
 {
-    const auto place = entries_.find(request);
-    return place == entries_.end() ? CrashRecord{.request = request} : place->second.record;
+    const auto it = entries_.find(request);
+    return it == entries_.end() ? CrashRecord{.request = request} : it->second.record;
 }
 
 std::vector<CrashRecord> CrashTable::shared() const
@@ -200,8 +199,8 @@
 
 bool CrashTable::isShared(const RequestIdentity &request) const
 {
-    const auto place = entries_.find(request);
-    return place != entries_.end() && place->second.shared;
+    const auto it = entries_.find(request);
+    return it != entries_.end() && it->second.shared;
 }
 
 void CrashTable::expire(kernel::Instant now)
--- a/src/forward/HallReachability.cpp
+++ b/src/forward/HallReachability.cpp
@@ -22,8 +22,8 @@
 
 kernel::Instant HallReachability::heard(const std::string &hall) const
 {
-    const auto place = heard_.find(hall);
-    return place == heard_.end() ? kernel::Instant() : place->second;
+    const auto it = heard_.find(hall);
+    return it == heard_.end() ? kernel::Instant() : it->second;
 }
 
 void HallReachability::shiftTimes(
--- a/src/forward/HolderIndex.cpp
+++ b/src/forward/HolderIndex.cpp
@@ -19,11 +19,11 @@
                                                         kernel::Instant now) const
 {
     std::vector<membership::ShortHash> engines;
-    const auto place = keys_.find(key);
-    if (place == keys_.end()) {
+    const auto it = keys_.find(key);
+    if (it == keys_.end()) {
         return engines;
     }
-    for (const Use &use : place->second) {
+    for (const Use &use : it->second) {
         if (now - use.last <= policy_.remembered) {
             engines.push_back(use.engine);
         }
--- a/src/forward/PartIndex.cpp
+++ b/src/forward/PartIndex.cpp
@@ -54,11 +54,11 @@
 {
     const std::vector<std::uint64_t> keys = sharedPrefixes(prompt);
     for (std::size_t length = keys.size(); length > 0; --length) {
-        const auto place = prefixes_.find(keys[length - 1]);
-        if (place == prefixes_.end()) {
+        const auto it = prefixes_.find(keys[length - 1]);
+        if (it == prefixes_.end()) {
             continue;
         }
-        const bool holds = std::ranges::any_of(place->second, [&](const Use &use) {
+        const bool holds = std::ranges::any_of(it->second, [&](const Use &use) {
             return use.server == server && now - use.last <= remembered_;
         });
         if (holds) {
@@ -73,10 +73,10 @@
 {
     const std::vector<std::uint64_t> keys = sharedPrefixes(prompt);
     for (std::size_t length = keys.size(); length > beyond; --length) {
-        const auto place = prefixes_.find(keys[length - 1]);
+        const auto it = prefixes_.find(keys[length - 1]);
         std::vector<std::string> servers;
-        if (place != prefixes_.end()) {
-            for (const Use &use : place->second) {
+        if (it != prefixes_.end()) {
+            for (const Use &use : it->second) {
                 if (now - use.last <= remembered_) {
                     servers.push_back(use.server);
                 }
--- a/src/forward/PlaceLedger.cpp
+++ b/src/forward/PlaceLedger.cpp
@@ -20,14 +20,14 @@
 double PlaceLedger::meanLoad(std::uint64_t service, const FleetSize &fleet,
                              kernel::Instant now) const
 {
-    const auto place = reports_.find(service);
-    if (place == reports_.end()) {
+    const auto it = reports_.find(service);
+    if (it == reports_.end()) {
         return 0;
     }
     double sum = 0;
     double weights = 0;
     double reports = 0;
-    for (const auto &[box, report] : place->second) {
+    for (const auto &[box, report] : it->second) {
         if (now - report.reportedAt <= policy_.reportMaxAge) {
             const double weight = 1 / reportProbability(report.asks, fleet);
             sum += weight * report.load;
@@ -64,9 +64,9 @@
 
 void PlaceLedger::giveBack(std::uint64_t engine, std::uint64_t request)
 {
-    const auto place = engines_.find(engine);
-    if (place != engines_.end()) {
-        place->second.erase(request);
+    const auto it = engines_.find(engine);
+    if (it != engines_.end()) {
+        it->second.erase(request);
     }
 }
 
@@ -85,8 +85,8 @@
 
 std::uint32_t PlaceLedger::load(std::uint64_t engine) const
 {
-    const auto place = engines_.find(engine);
-    return place == engines_.end() ? 0 : static_cast<std::uint32_t>(place->second.size());
+    const auto it = engines_.find(engine);
+    return it == engines_.end() ? 0 : static_cast<std::uint32_t>(it->second.size());
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerIndex.cpp
+++ b/src/forward/ServerIndex.cpp
@@ -6,8 +6,8 @@
 
 void ServerIndex::put(const ListedServer &server, kernel::Instant since)
 {
-    const auto [place, added] = records_.try_emplace(server.id);
-    ServerRecord &record = place->second;
+    const auto [it, added] = records_.try_emplace(server.id);
+    ServerRecord &record = it->second;
     if (added) {
         record.since = since;
     } else if (record.server == server) {
@@ -23,47 +23,47 @@
 
 void ServerIndex::remove(const std::string &id)
 {
-    const auto place = records_.find(id);
-    if (place == records_.end()) {
+    const auto it = records_.find(id);
+    if (it == records_.end()) {
         return;
     }
-    unlink(place->second);
-    if (place->second.tracked) {
-        std::erase(tracked_, &place->second);
+    unlink(it->second);
+    if (it->second.tracked) {
+        std::erase(tracked_, &it->second);
     }
-    records_.erase(place);
+    records_.erase(it);
 }
 
 ServerRecord *ServerIndex::find(const std::string &id)
 {
-    const auto place = records_.find(id);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(id);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 const ServerRecord *ServerIndex::find(const std::string &id) const
 {
-    const auto place = records_.find(id);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(id);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 const ServerRecord *ServerIndex::findShort(std::uint32_t hash) const
 {
-    const auto place = byShortHash_.find(hash);
-    return place == byShortHash_.end() ? nullptr : place->second;
+    const auto it = byShortHash_.find(hash);
+    return it == byShortHash_.end() ? nullptr : it->second;
 }
 
 const ServerRecord *ServerIndex::findHash(std::uint64_t hash) const
 {
     const auto [first, last] = byShortHash_.equal_range(static_cast<std::uint32_t>(hash));
-    const auto place =
+    const auto it =
             std::find_if(first, last, [&](const auto &item) { return item.second->hash == hash; });
-    return place == last ? nullptr : place->second;
+    return it == last ? nullptr : it->second;
 }
 
 const ServiceServers *ServerIndex::service(const std::string &name) const
 {
-    const auto place = services_.find(name);
-    return place == services_.end() ? nullptr : &place->second;
+    const auto it = services_.find(name);
+    return it == services_.end() ? nullptr : &it->second;
 }
 
 void ServerIndex::track(ServerRecord &record)
@@ -100,9 +100,9 @@
 // Halls are few and numbers are never reused.
 HallNumber ServerIndex::numberOf(const std::string &hall)
 {
-    const auto place = std::ranges::find(halls_, hall);
-    const auto number = static_cast<HallNumber>(place - halls_.begin());
-    if (place == halls_.end()) {
+    const auto it = std::ranges::find(halls_, hall);
+    const auto number = static_cast<HallNumber>(it - halls_.begin());
+    if (it == halls_.end()) {
         halls_.push_back(hall);
     }
     return number;
--- a/src/forward/ServerTable.cpp
+++ b/src/forward/ServerTable.cpp
@@ -446,8 +446,8 @@
 
 bool ServerTable::limitedToSlots(const std::string &service, kernel::Instant now) const
 {
-    const auto place = backoffAskedAt_.find(service);
-    return place != backoffAskedAt_.end() && now - place->second < policy_.limitedToSlots;
+    const auto it = backoffAskedAt_.find(service);
+    return it != backoffAskedAt_.end() && now - it->second < policy_.limitedToSlots;
 }
 
 kernel::Duration ServerTable::fullLeft(const std::string &id, kernel::Instant now) const
--- a/src/forward/SingleSendLeases.cpp
+++ b/src/forward/SingleSendLeases.cpp
@@ -5,9 +5,9 @@
 kernel::Duration SingleSendLeases::tryAcquire(const RequestIdentity &request, std::uint64_t ask,
                                               kernel::Instant until, kernel::Instant now)
 {
-    const auto place = sends_.find(request);
-    if (place != sends_.end() && place->second.ask != ask && place->second.until > now) {
-        return place->second.until - now;
+    const auto it = sends_.find(request);
+    if (it != sends_.end() && it->second.ask != ask && it->second.until > now) {
+        return it->second.until - now;
     }
     sends_[request] = {ask, until};
     return kernel::Duration::zero();
@@ -15,9 +15,9 @@
 
 void SingleSendLeases::releaseLease(const RequestIdentity &request, std::uint64_t ask)
 {
-    const auto place = sends_.find(request);
-    if (place != sends_.end() && place->second.ask == ask) {
-        sends_.erase(place);
+    const auto it = sends_.find(request);
+    if (it != sends_.end() && it->second.ask == ask) {
+        sends_.erase(it);
     }
 }
 
--- a/src/forward/Snapshot.cpp
+++ b/src/forward/Snapshot.cpp
@@ -43,15 +43,15 @@
 
 const Route *Snapshot::route(std::string_view host, std::string_view path) const
 {
-    const auto place = hosts_.find(hostName(host));
-    if (place == hosts_.end()) {
+    const auto it = hosts_.find(hostName(host));
+    if (it == hosts_.end()) {
         return nullptr;
     }
     path = path.substr(0, path.find('?'));
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
          slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
-        const auto found = place->second.find(std::string(path.substr(0, slash + 1)));
-        if (found != place->second.end()) {
+        const auto found = it->second.find(std::string(path.substr(0, slash + 1)));
+        if (found != it->second.end()) {
             return found->second;
         }
     }
@@ -60,14 +60,14 @@
 
 const Service *Snapshot::service(const std::string &name) const
 {
-    const auto place = services_.find(name);
-    return place == services_.end() ? nullptr : place->second;
+    const auto it = services_.find(name);
+    return it == services_.end() ? nullptr : it->second;
 }
 
 const Organisation *Snapshot::organisation(const std::string &key) const
 {
-    const auto place = organisations_.find(key);
-    return place == organisations_.end() ? nullptr : place->second;
+    const auto it = organisations_.find(key);
+    return it == organisations_.end() ? nullptr : it->second;
 }
 
 std::optional<std::vector<std::string>> homeRegions(const std::vector<std::string> &ofRoute,
