--- a/src/forward/PartIndex.cpp
+++ b/src/forward/PartIndex.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t MostUses = 6; ///< Servers remembered for one prefix.
-constexpr std::size_t MostPrefixes = 65536;
+constexpr std::size_t MaxUses = 6; ///< Servers remembered for one prefix.
+constexpr std::size_t MaxPrefixes = 65536;
 constexpr kernel::Duration SweepEvery = 5s;
 
 } // namespace
@@ -34,7 +34,7 @@
 
 void PartIndex::note(const Prompt &prompt, const std::string &server, kernel::Instant now)
 {
-    if (now - swept_ >= SweepEvery || prefixes_.size() >= MostPrefixes) {
+    if (now - swept_ >= SweepEvery || prefixes_.size() >= MaxPrefixes) {
         sweep(now);
     }
     for (const std::uint64_t key : sharedPrefixes(prompt)) {
@@ -43,7 +43,7 @@
             keysOf_[server].push_back(key);
         }
         uses.insert(uses.begin(), Use{server, now});
-        if (uses.size() > MostUses) {
+        if (uses.size() > MaxUses) {
             uses.pop_back();
         }
     }
@@ -54,11 +54,11 @@
 {
     const std::vector<std::uint64_t> keys = sharedPrefixes(prompt);
     for (std::size_t length = keys.size(); length > 0; --length) {
-        const auto place = prefixes_.find(keys[length - 1]);
-        if (place == prefixes_.end()) {
+        const auto it = prefixes_.find(keys[length - 1]);
+        if (it == prefixes_.end()) {
             continue;
         }
-        const bool holds = std::ranges::any_of(place->second, [&](const Use &use) {
+        const bool holds = std::ranges::any_of(it->second, [&](const Use &use) {
             return use.server == server && now - use.last <= remembered_;
         });
         if (holds) {
@@ -73,10 +73,10 @@
 {
     const std::vector<std::uint64_t> keys = sharedPrefixes(prompt);
     for (std::size_t length = keys.size(); length > beyond; --length) {
-        const auto place = prefixes_.find(keys[length - 1]);
+        const auto it = prefixes_.find(keys[length - 1]);
         std::vector<std::string> servers;
-        if (place != prefixes_.end()) {
-            for (const Use &use : place->second) {
+        if (it != prefixes_.end()) {
+            for (const Use &use : it->second) {
                 if (now - use.last <= remembered_) {
                     servers.push_back(use.server);
                 }
@@ -115,7 +115,7 @@
         }
     }
     std::erase_if(prefixes_, [](const auto &item) { return item.second.empty(); });
-    if (prefixes_.size() >= MostPrefixes) {
+    if (prefixes_.size() >= MaxPrefixes) {
         prefixes_.clear();
         keysOf_.clear();
     }
--- a/src/forward/PlaceLedger.cpp
+++ b/src/forward/PlaceLedger.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// The chance that one owner hears from a box that made so many asks: each goes to any owner.
-double chanceToHear(double asks, const FleetSize &fleet)
+// The probability that a given owner has a recent report of a box that made this many requests for
+// a place, each of which goes to a random owner.
+double reportProbability(double asks, const FleetSize &fleet)
 {
     const auto boxes = static_cast<double>(std::max<std::size_t>(fleet.boxes, 1));
     return boxes <= 1 ? 1 : 1 - std::pow(1 - 1 / boxes, std::max(asks, 1.0));
@@ -19,41 +20,41 @@
 double PlaceLedger::meanLoad(std::uint64_t service, const FleetSize &fleet,
                              kernel::Instant now) const
 {
-    const auto place = words_.find(service);
-    if (place == words_.end()) {
+    const auto it = reports_.find(service);
+    if (it == reports_.end()) {
         return 0;
     }
     double sum = 0;
     double weights = 0;
-    double words = 0;
-    for (const auto &[box, word] : place->second) {
-        if (now - word.at <= policy_.wordAge) {
-            const double weight = 1 / chanceToHear(word.asks, fleet);
-            sum += weight * word.load;
+    double reports = 0;
+    for (const auto &[box, report] : it->second) {
+        if (now - report.reportedAt <= policy_.reportMaxAge) {
+            const double weight = 1 / reportProbability(report.asks, fleet);
+            sum += weight * report.load;
             weights += weight;
-            words += 1;
+            reports += 1;
         }
     }
-    if (words == 0) {
+    if (reports == 0) {
         return 0;
     }
-    // Few words may all be of busy boxes: they count as if idle boxes had spoken beside them.
-    const bool allSpoke = words >= static_cast<double>(fleet.boxes);
-    const double sure = allSpoke ? 1 : words / (words + policy_.idleWords);
+    // A few reports may all be of busy boxes, so reports of idle boxes are added.
+    const bool allReported = reports >= static_cast<double>(fleet.boxes);
+    const double confidence = allReported ? 1 : reports / (reports + policy_.idleReports);
     const auto engines = static_cast<double>(std::max<std::size_t>(fleet.engines, 1));
-    return sure * sum / weights * static_cast<double>(fleet.boxes) / engines;
+    return confidence * sum / weights * static_cast<double>(fleet.boxes) / engines;
 }
 
 PlaceAnswer PlaceLedger::ask(const PlaceAsk &ask, const FleetSize &fleet, kernel::Instant now)
 {
-    words_[ask.service][ask.box] = {ask.boxLoad, ask.boxAsks, now};
+    reports_[ask.service][ask.box] = {ask.boxLoad, ask.boxAsks, now};
     Places &places = engines_[ask.engine];
     const auto load = static_cast<std::uint32_t>(places.size());
     if (places.contains(ask.request)) {
         return {true, load};
     }
     const double mean = meanLoad(ask.service, fleet, now);
-    const double bound = policy_.loadMultiple * mean * policy_.keptPart + policy_.beyond;
+    const double bound = policy_.loadMultiple * mean * policy_.grantedPart + policy_.beyond;
     if (load + 1 > std::max(bound, 1.0)) {
         return {false, load};
     }
@@ -63,9 +64,9 @@
 
 void PlaceLedger::giveBack(std::uint64_t engine, std::uint64_t request)
 {
-    const auto place = engines_.find(engine);
-    if (place != engines_.end()) {
-        place->second.erase(request);
+    const auto it = engines_.find(engine);
+    if (it != engines_.end()) {
+        it->second.erase(request);
     }
 }
 
@@ -75,16 +76,17 @@
         std::erase_if(places, [now](const auto &item) { return now >= item.second; });
     }
     std::erase_if(engines_, [](const auto &item) { return item.second.empty(); });
-    for (auto &[service, boxes] : words_) {
-        std::erase_if(boxes,
-                      [&](const auto &item) { return now - item.second.at > policy_.wordAge; });
+    for (auto &[service, boxes] : reports_) {
+        std::erase_if(boxes, [&](const auto &item) {
+            return now - item.second.reportedAt > policy_.reportMaxAge;
+        });
     }
 }
 
 std::uint32_t PlaceLedger::load(std::uint64_t engine) const
 {
-    const auto place = engines_.find(engine);
-    return place == engines_.end() ? 0 : static_cast<std::uint32_t>(place->second.size());
+    const auto it = engines_.find(engine);
+    return it == engines_.end() ? 0 : static_cast<std::uint32_t>(it->second.size());
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerChoice.cpp
+++ b/src/forward/ServerChoice.cpp
@@ -9,33 +9,33 @@
 namespace {
 
 constexpr double LoadBeyondMean = 3;
-// The bound that is kept leaves room for what other boxes do at the same moment.
-constexpr double BoundPart = 0.85;
+// Reduces the bound, to allow for what other boxes send at the same moment.
+constexpr double BoundMargin = 0.85;
 constexpr double OtherHallCost = 0.25;
 
 } // namespace
 
 const ServerRecord *ServerChoice::idlest(std::mt19937_64 &random) const
 {
-    const ServerRecord *unused = idlestUnused(random);
-    const ServerRecord *noted = idlestNoted(random);
-    if (unused == nullptr || noted == nullptr) {
-        return unused == nullptr ? noted : unused;
+    const ServerRecord *untracked = idlestUntracked(random);
+    const ServerRecord *tracked = idlestTracked(random);
+    if (untracked == nullptr || tracked == nullptr) {
+        return untracked == nullptr ? tracked : untracked;
     }
-    return cost(*noted) < cost(*unused) ? noted : unused;
+    return cost(*tracked) < cost(*untracked) ? tracked : untracked;
 }
 
-const ServerRecord *ServerChoice::idlestNoted(std::mt19937_64 &random) const
+const ServerRecord *ServerChoice::idlestTracked(std::mt19937_64 &random) const
 {
-    const auto &noted = usable_.noted();
-    if (noted.empty()) {
+    const auto &tracked = usable_.tracked();
+    if (tracked.empty()) {
         return nullptr;
     }
-    const std::size_t first = random() % noted.size();
-    const ServerRecord *best = noted[first];
+    const std::size_t first = random() % tracked.size();
+    const ServerRecord *best = tracked[first];
     double least = cost(*best);
-    for (std::size_t step = 1; step < noted.size(); ++step) {
-        const ServerRecord *record = noted[(first + step) % noted.size()];
+    for (std::size_t step = 1; step < tracked.size(); ++step) {
+        const ServerRecord *record = tracked[(first + step) % tracked.size()];
         if (const double found = cost(*record); found < least) {
             best = record;
             least = found;
@@ -44,56 +44,56 @@
     return best;
 }
 
-const ServerRecord *ServerChoice::idlestUnused(std::mt19937_64 &random) const
+const ServerRecord *ServerChoice::idlestUntracked(std::mt19937_64 &random) const
 {
-    if (usable_.unused() == 0) {
+    if (usable_.untracked() == 0) {
         return nullptr;
     }
     const auto &halls = view_.index.halls();
     const auto own = std::ranges::find(halls, policy_.hall) - halls.begin();
     const auto hall = static_cast<HallNumber>(own);
-    if (usable_.unusedIn(hall) > 0) {
-        return usable_.pickUnusedIn(hall, random);
+    if (usable_.untrackedIn(hall) > 0) {
+        return usable_.pickUntrackedIn(hall, random);
     }
-    return usable_.pickUnused(random() % usable_.unused(), random);
+    return usable_.pickUntracked(random() % usable_.untracked(), random);
 }
 
 double ServerChoice::cost(const ServerRecord &record) const
 {
     const double places = std::max<std::uint32_t>(1, record.server.slots);
-    const bool near = record.server.hall == policy_.hall;
+    const bool inOwnHall = record.server.hall == policy_.hall;
     return record.load(view_.now) / places + record.errorShare(view_.now)
-           + (near ? 0 : OtherHallCost);
+           + (inOwnHall ? 0 : OtherHallCost);
 }
 
 bool ServerChoice::full(const ServerRecord &record) const
 {
-    return std::ranges::find(wish_.full, record.server.id) != wish_.full.end();
+    return std::ranges::find(requirements_.full, record.server.id) != requirements_.full.end();
 }
 
 const ServerRecord *ServerChoice::forPrompt(const HoldsAll &holdsAll) const
 {
-    const ServiceServers *service = view_.index.service(wish_.service);
+    const ServiceServers *service = view_.index.service(requirements_.service);
     if (service == nullptr || usable_.size() == 0) {
         return nullptr;
     }
-    const double bound = policy_.loadMultiple * usable_.meanLoad() * BoundPart + LoadBeyondMean;
-    const auto hasRoom = [&](const ServerRecord &record) {
+    const double bound = policy_.loadMultiple * usable_.meanLoad() * BoundMargin + LoadBeyondMean;
+    const auto belowBound = [&](const ServerRecord &record) {
         return !full(record) && record.load(view_.now) <= bound;
     };
-    CandidateOrder order(service->table, sharedPartsKey(*wish_.prompt),
+    CandidateOrder order(service->table, sharedPartsKey(*requirements_.prompt),
                          [this](const ServerRecord &record) { return usable_.contains(record); });
-    std::vector<const ServerRecord *> passed;
-    const ServerRecord *first = nullptr; // That has room.
+    std::vector<const ServerRecord *> skipped;
+    const ServerRecord *first = nullptr; // The first one below the bound.
     while (const ServerRecord *record = order.next()) {
-        if (hasRoom(*record)) {
+        if (belowBound(*record)) {
             first = first == nullptr ? record : first;
             if (holdsAll(*record)) {
                 return record;
             }
         }
-        passed.push_back(record);
-        if (first != nullptr && passed.size() >= policy_.nearHolders) {
+        skipped.push_back(record);
+        if (first != nullptr && skipped.size() >= policy_.nearHolders) {
             return first;
         }
     }
@@ -101,15 +101,16 @@
         return first;
     }
     const auto load = [this](const ServerRecord *record) { return record->load(view_.now); };
-    return passed.empty() ? nullptr : *std::ranges::min_element(passed, {}, load);
+    return skipped.empty() ? nullptr : *std::ranges::min_element(skipped, {}, load);
 }
 
-// For parts that everybody wants, the next in the order would only be the next to be overrun. Of
-// two by chance the less loaded one, as far as this box knows (Mitzenmacher, 2001).
+// If many boxes want the same parts, the next server in the order would be the next to be
+// overloaded. So two are drawn at random and the one with less load, as far as this box knows, is
+// taken (Mitzenmacher, 2001).
 const ServerRecord *ServerChoice::spread(std::mt19937_64 &random) const
 {
-    Wish others = wish_;
-    others.barred.insert(others.barred.end(), wish_.full.begin(), wish_.full.end());
+    ServerRequirements others = requirements_;
+    others.barred.insert(others.barred.end(), requirements_.full.begin(), requirements_.full.end());
     const UsableServers notFull(view_, others);
     const UsableServers &from = notFull.size() == 0 ? usable_ : notFull;
     if (from.size() == 0) {
@@ -117,9 +118,9 @@
     }
     const auto pick = [&] {
         const std::size_t number = random() % from.size();
-        const auto &noted = from.noted();
-        return number < noted.size() ? noted[number]
-                                     : from.pickUnused(number - noted.size(), random);
+        const auto &tracked = from.tracked();
+        return number < tracked.size() ? tracked[number]
+                                       : from.pickUntracked(number - tracked.size(), random);
     };
     const ServerRecord *one = pick();
     const ServerRecord *other = pick();
--- a/src/forward/ServerIndex.cpp
+++ b/src/forward/ServerIndex.cpp
@@ -6,8 +6,8 @@
 
 void ServerIndex::put(const ListedServer &server, kernel::Instant since)
 {
-    const auto [place, added] = records_.try_emplace(server.id);
-    ServerRecord &record = place->second;
+    const auto [it, added] = records_.try_emplace(server.id);
+    ServerRecord &record = it->second;
     if (added) {
         record.since = since;
     } else if (record.server == server) {
@@ -23,62 +23,62 @@
 
 void ServerIndex::remove(const std::string &id)
 {
-    const auto place = records_.find(id);
-    if (place == records_.end()) {
+    const auto it = records_.find(id);
+    if (it == records_.end()) {
         return;
     }
-    unlink(place->second);
-    if (place->second.noted) {
-        std::erase(noted_, &place->second);
+    unlink(it->second);
+    if (it->second.tracked) {
+        std::erase(tracked_, &it->second);
     }
-    records_.erase(place);
+    records_.erase(it);
 }
 
 ServerRecord *ServerIndex::find(const std::string &id)
 {
-    const auto place = records_.find(id);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(id);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 const ServerRecord *ServerIndex::find(const std::string &id) const
 {
-    const auto place = records_.find(id);
-    return place == records_.end() ? nullptr : &place->second;
+    const auto it = records_.find(id);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 const ServerRecord *ServerIndex::findShort(std::uint32_t hash) const
 {
-    const auto place = byShortHash_.find(hash);
-    return place == byShortHash_.end() ? nullptr : place->second;
+    const auto it = byShortHash_.find(hash);
+    return it == byShortHash_.end() ? nullptr : it->second;
 }
 
 const ServerRecord *ServerIndex::findHash(std::uint64_t hash) const
 {
     const auto [first, last] = byShortHash_.equal_range(static_cast<std::uint32_t>(hash));
-    const auto place =
+    const auto it =
             std::find_if(first, last, [&](const auto &item) { return item.second->hash == hash; });
-    return place == last ? nullptr : place->second;
+    return it == last ? nullptr : it->second;
 }
 
 const ServiceServers *ServerIndex::service(const std::string &name) const
 {
-    const auto place = services_.find(name);
-    return place == services_.end() ? nullptr : &place->second;
+    const auto it = services_.find(name);
+    return it == services_.end() ? nullptr : &it->second;
 }
 
-void ServerIndex::note(ServerRecord &record)
+void ServerIndex::track(ServerRecord &record)
 {
-    if (!record.noted) {
-        record.noted = true;
-        noted_.push_back(&record);
+    if (!record.tracked) {
+        record.tracked = true;
+        tracked_.push_back(&record);
     }
 }
 
-void ServerIndex::dropUnused(kernel::Instant now)
+void ServerIndex::dropUntracked(kernel::Instant now)
 {
-    std::erase_if(noted_, [now](ServerRecord *record) {
-        record->noted = !record->unused(now);
-        return !record->noted;
+    std::erase_if(tracked_, [now](ServerRecord *record) {
+        record->tracked = !record->hasDefaultState(now);
+        return !record->tracked;
     });
 }
 
@@ -86,7 +86,7 @@
 {
     ++record.own;
     ++services_[record.server.service].own;
-    note(record);
+    track(record);
 }
 
 void ServerIndex::endRequest(ServerRecord &record)
@@ -97,12 +97,12 @@
     }
 }
 
-// Halls are few and don't go; their numbers are kept.
+// Halls are few and numbers are never reused.
 HallNumber ServerIndex::numberOf(const std::string &hall)
 {
-    const auto place = std::ranges::find(halls_, hall);
-    const auto number = static_cast<HallNumber>(place - halls_.begin());
-    if (place == halls_.end()) {
+    const auto it = std::ranges::find(halls_, hall);
+    const auto number = static_cast<HallNumber>(it - halls_.begin());
+    if (it == halls_.end()) {
         halls_.push_back(hall);
     }
     return number;
@@ -120,9 +120,9 @@
     if (service.byHall.size() <= record.hall) {
         service.byHall.resize(record.hall + 1);
     }
-    auto &working = service.byHall[record.hall];
-    record.place = working.size();
-    working.push_back(&record);
+    auto &accepting = service.byHall[record.hall];
+    record.place = accepting.size();
+    accepting.push_back(&record);
 }
 
 void ServerIndex::unlink(ServerRecord &record)
@@ -136,11 +136,11 @@
     if (record.server.leaving) {
         return;
     }
-    // The last one takes its place.
-    auto &working = service.byHall[record.hall];
-    working[record.place] = working.back();
-    working[record.place]->place = record.place;
-    working.pop_back();
+    // The last record moves to the free position.
+    auto &accepting = service.byHall[record.hall];
+    accepting[record.place] = accepting.back();
+    accepting[record.place]->place = record.place;
+    accepting.pop_back();
 }
 
 } // namespace limereel::forward
--- a/src/forward/ServerOrder.cpp
+++ b/src/forward/ServerOrder.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A choice seldom looks further than at three holders, or at a few full servers.
+// A choice seldom looks at more than three holders or a few full servers.
 constexpr std::size_t FirstBatch = 16;
-// Where all servers are full all are looked at, in a few passes.
+// If all servers are full, all of them are visited, in a few passes.
 constexpr std::size_t BatchGrowth = 16;
 
 } // namespace
@@ -23,7 +23,7 @@
     return hash < other.hash;
 }
 
-void ServerTable::insert(ServerRecord &record)
+void RendezvousTable::insert(ServerRecord &record)
 {
     record.row = records_.size();
     hashes_.push_back(record.hash);
@@ -31,8 +31,8 @@
     firstKey_.reset();
 }
 
-// The last one takes its row.
-void ServerTable::erase(const ServerRecord &record)
+// The last record moves to the free row.
+void RendezvousTable::erase(const ServerRecord &record)
 {
     const std::size_t row = record.row;
     hashes_[row] = hashes_.back();
@@ -43,7 +43,7 @@
     firstKey_.reset();
 }
 
-const std::vector<WeighedServer> &ServerTable::first(std::uint64_t key) const
+const std::vector<WeighedServer> &RendezvousTable::first(std::uint64_t key) const
 {
     if (firstKey_ != key) {
         const WeighedServer beforeAll{~std::uint64_t{0}, 0, nullptr};
@@ -53,14 +53,14 @@
     return first_;
 }
 
-std::vector<WeighedServer> ServerTable::after(std::uint64_t key, const WeighedServer &last,
-                                              std::size_t count, const Wanted &wanted) const
+std::vector<WeighedServer> RendezvousTable::after(std::uint64_t key, const WeighedServer &last,
+                                                  std::size_t count, const Wanted &wanted) const
 {
     const auto before = [](const WeighedServer &left, const WeighedServer &right) {
         return left.before(right);
     };
-    std::vector<WeighedServer> found; // A heap with the worst on top.
-    std::uint64_t least = 0;          // Less weight is never in time.
+    std::vector<WeighedServer> found; // A heap with the last one of the order on top.
+    std::uint64_t least = 0;          // Servers with less weight can't be among the first \a count.
     for (std::size_t row = 0; row < hashes_.size(); ++row) {
         const std::uint64_t weight = membership::rendezvousWeight(key, hashes_[row]);
         if (weight < least || weight > last.weight) {
@@ -84,8 +84,8 @@
     return found;
 }
 
-CandidateOrder::CandidateOrder(const ServerTable &table, std::uint64_t key,
-                               ServerTable::Wanted wanted)
+CandidateOrder::CandidateOrder(const RendezvousTable &table, std::uint64_t key,
+                               RendezvousTable::Wanted wanted)
     : table_(table)
     , key_(key)
     , wanted_(std::move(wanted))
--- a/src/outcome/NextStep.h
+++ b/src/outcome/NextStep.h
@@ -21,6 +21,6 @@
  * Decides what follows attempt \a number, which failed with \a verdict. A retry is taken from \a
  * budget; if that is spent and nothing ran, the result says so.
  */
-NextStep afterFailure(const Verdict &verdict, int number, int mostAttempts, RetryBudget &budget);
+NextStep afterFailure(const Verdict &verdict, int number, int maxAttempts, RetryBudget &budget);
 
 } // namespace limereel::outcome
