--- a/src/gateway/FeedPaces.cpp
+++ b/src/gateway/FeedPaces.cpp
@@ -70,7 +70,7 @@
     const Duration usable = usableFor(settings);
     const FeedPace alone = configurationPace(settings);
     return {alone, store::relayPace(alone, {usable, settings.applyWithin}),
-            store::oldestHeard(usable)};
+            store::maxRelayedAge(usable)};
 }
 
 // A relay's list is as old as its confirmations: where these are late, so may leaving servers be.
@@ -78,7 +78,7 @@
 {
     const FeedPace alone = serverPace(settings);
     return {alone, store::relayPace(alone, {0s, settings.drainWithin}),
-            store::oldestHeard(settings.drainWithin)};
+            store::maxRelayedAge(settings.drainWithin)};
 }
 
 // A drained hall is news of a moment, and nothing hangs on how fresh the word is that there is
@@ -94,16 +94,16 @@
     FeedPaces paces;
     paces.alone = pace;
     paces.relaying = store::relayPace(pace, {0s, settings.hallDrainWithin});
-    paces.oldestHeard = settings.hallDrainWithin;
+    paces.maxRelayedAge = settings.hallDrainWithin;
     // A box that has just started owes the bound only from the time of contact on.
     paces.awaitRelays = settings.contact / 2;
     return paces;
 }
 
-std::size_t fewestRelayed(const GatewaySettings &settings)
+std::size_t minBoxesForRelaying(const GatewaySettings &settings)
 {
     const FeedPaces paces = configurationPaces(settings);
-    return store::fewestRelayed(paces.alone, paces.relaying);
+    return store::minBoxesForRelaying(paces.alone, paces.relaying);
 }
 
 } // namespace limereel::gateway
--- a/src/gateway/FeedPaces.h
+++ b/src/gateway/FeedPaces.h
@@ -21,6 +21,6 @@
 FeedPaces hallDrainPaces(const kernel::GatewaySettings &settings);
 
 /** Boxes in a hall from which on some relay for the others. */
-std::size_t fewestRelayed(const kernel::GatewaySettings &settings);
+std::size_t minBoxesForRelaying(const kernel::GatewaySettings &settings);
 
 } // namespace limereel::gateway
--- a/src/gateway/FeedRelay.cpp
+++ b/src/gateway/FeedRelay.cpp
@@ -21,7 +21,7 @@
 class HeldRoom
 {
 public:
-    HeldRoom(std::shared_ptr<store::AnswerRoom> room, std::size_t bytes)
+    HeldRoom(std::shared_ptr<store::AnswerBudget> room, std::size_t bytes)
         : room_(std::move(room))
         , bytes_(bytes)
     {
@@ -31,7 +31,7 @@
     HeldRoom &operator=(const HeldRoom &) = delete;
 
 private:
-    std::shared_ptr<store::AnswerRoom> room_;
+    std::shared_ptr<store::AnswerBudget> room_;
     std::size_t bytes_;
 };
 
@@ -52,7 +52,7 @@
     : context_(context)
     , world_(world)
     , keys_(peer::peerKeysFrom(context.settings.peerKeys))
-    , room_(std::make_shared<store::AnswerRoom>(context.settings.gateway.linkMbps))
+    , room_(std::make_shared<store::AnswerBudget>(context.settings.gateway.linkMbps))
 {
 }
 
--- a/src/gateway/FeedRelay.h
+++ b/src/gateway/FeedRelay.h
@@ -8,7 +8,7 @@
 #include "gateway/World.h"
 #include "http/Server.h"
 #include "peer/Envelope.h"
-#include "store/AnswerRoom.h"
+#include "store/AnswerBudget.h"
 
 #include <memory>
 
@@ -36,7 +36,7 @@
     services::Context &context_;
     World &world_;
     std::vector<peer::PeerKey> keys_;
-    std::shared_ptr<store::AnswerRoom> room_; ///< Also of answers that outlive the service.
+    std::shared_ptr<store::AnswerBudget> room_; ///< Also of answers that outlive the service.
     std::unique_ptr<http::Server> server_;
 };
 
--- a/src/gateway/ObjectFeed.cpp
+++ b/src/gateway/ObjectFeed.cpp
@@ -133,7 +133,7 @@
     store::ListNeed need;
     need.known = at_.has_value();
     need.relaysKnown = !sources_.relays().empty();
-    need.inLine = inLine();
+    need.readsStoreDirectly = readsStoreDirectly();
     if (listing_ && !listing_->objects.empty()) {
         need.firstPage = listing_->begun;
     }
@@ -166,7 +166,7 @@
 
 void ObjectFeed::noteFailure(const std::string &what)
 {
-    const bool spare = !tooLarge_ && !inLine();
+    const bool spare = !tooLarge_ && !readsStoreDirectly();
     book_.noteStoreFailed(spare, context_.now(), context_.random);
     record_.noteStoreFailure(context_.now());
     heardFromStore_ = false;
@@ -175,16 +175,16 @@
     // A first failure that came soon, such as a refusal, may be the only one: those who hear
     // through this box aren't sent elsewhere for it.
     const auto confirmed = record_.confirmedAsOf();
-    const bool young = confirmed && context_.now() - *confirmed < paces_.oldestHeard / 2;
+    const bool young = confirmed && context_.now() - *confirmed < paces_.maxRelayedAge / 2;
     if (book_.storeFailures() > 1 || !young) {
         noteLost(what);
     }
     failing_ = true;
 }
 
-bool ObjectFeed::inLine() const
+bool ObjectFeed::readsStoreDirectly() const
 {
-    return store::SourceBook::inLine(sources_.relays(), sources_.self());
+    return store::SourceSelector::readsStoreDirectly(sources_.relays(), sources_.self());
 }
 
 void ObjectFeed::noteLost(const std::string &why)
@@ -322,7 +322,7 @@
         noteUnreadable(page->unreadable);
         const bool first = listing_->objects.empty();
         more = takePage(std::move(*page), bytes);
-        if (more && first && !inLine()) {
+        if (more && first && !readsStoreDirectly()) {
             co_return true;
         }
     }
@@ -352,7 +352,7 @@
         listing_->at = page.at;
     }
     const bool more = page.more && !page.objects.empty();
-    std::ranges::move(keptObjects(page.objects, bytes, inLine()),
+    std::ranges::move(keptObjects(page.objects, bytes, readsStoreDirectly()),
                       std::back_inserter(listing_->kept));
     std::ranges::move(page.objects, std::back_inserter(listing_->objects));
     return more;
@@ -395,7 +395,8 @@
     changed_ = !changes->objects.empty();
     if (changed_) {
         co_await letOthersRun();
-        record_.change(keptObjects(changes->objects, answer->body.size(), inLine()), *at_, told_);
+        record_.change(keptObjects(changes->objects, answer->body.size(), readsStoreDirectly()),
+                       *at_, told_);
         co_await handOver(changes->objects);
     }
     confirm(asked);
@@ -408,7 +409,7 @@
 
 peer::FeedAsk ObjectFeed::makeAsk(bool proven) const
 {
-    const auto hold = proven && !tooLarge_ ? store::holdOf(paces_.relaying) / 1ms : 0;
+    const auto hold = proven && !tooLarge_ ? store::relayHoldTime(paces_.relaying) / 1ms : 0;
     return {.question = context_.random(),
             .kind = kind_,
             .at = at_.value_or(0),
@@ -441,7 +442,7 @@
     state.asked = asked;
     state.now = context_.now();
     state.known = record_.at().value_or(0);
-    state.oldest = paces_.oldestHeard;
+    state.oldest = paces_.maxRelayedAge;
     const peer::Verdict verdict = peer::judge(*answer, state);
     if (verdict == peer::Verdict::Good) {
         noteRelayAnswer(relay);
--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -3,8 +3,8 @@
  * and a new list whenever the store has forgotten what lay between, or has been away: what is
  * missed then may be many versions of a large object, of which only the newest counts.
  *
- * Where a few boxes of the hall ask the store for all (store/SourceBook.h), the others ask these:
- * what a box spends on calls to the store then doesn't grow with the boxes of its hall.
+ * Where a few boxes of the hall ask the store for all (store/SourceSelector.h), the others ask
+ * these: what a box spends on calls to the store then doesn't grow with the boxes of its hall.
  *
  * An outage changes nothing that is known. Each answered watch also confirms that nothing newer had
  * been there when it was asked; an answer of a relay, that nothing newer was there when the relay
@@ -20,7 +20,7 @@
 #include "services/Context.h"
 #include "services/Repeat.h"
 #include "store/FeedPace.h"
-#include "store/SourceBook.h"
+#include "store/SourceSelector.h"
 
 #include <functional>
 #include <memory>
@@ -38,7 +38,7 @@
     store::FeedPace relaying; ///< Of one that asks it for others.
 
     /** Age from which on what a relay knows is too old. */
-    kernel::Duration oldestHeard{};
+    kernel::Duration maxRelayedAge{};
 
     /** How long a box that knows nothing yet waits for heartbeats to name relays, before it asks
      * the store itself; zero: not at all. */
@@ -136,7 +136,7 @@
     void noteFailure(const std::string &what);
     void noteRelayFault(std::uint64_t relay, const std::string &what, store::RelayFault fault);
     void noteAnswer();
-    bool inLine() const;
+    bool readsStoreDirectly() const;
     void noteLost(const std::string &why);
     bool settling() const;
     bool leavesListToRelays() const;
@@ -163,7 +163,7 @@
     FeedPaces paces_;
     FeedSources &sources_;
     FeedHooks hooks_;
-    store::SourceBook book_;
+    store::SourceSelector book_;
     peer::FeedRecord record_;
     FeedConnection storeConnection_;
     RelayCaller relayCaller_;
--- a/src/gateway/World.cpp
+++ b/src/gateway/World.cpp
@@ -97,7 +97,7 @@
 void World::start()
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
-    sources_ = std::make_unique<FeedSources>(context_, fewestRelayed(settings));
+    sources_ = std::make_unique<FeedSources>(context_, minBoxesForRelaying(settings));
     FeedHooks configurationHooks;
     configurationHooks.changed = [this](auto objects) { takeConfiguration(objects); };
     configurationHooks.confirmed = [this](kernel::Instant asOf) {
@@ -206,7 +206,7 @@
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     freshness_.setPolicy(usableFor(settings), unconfirmedKeys(settings));
-    sources_->setFewest(fewestRelayed(settings));
+    sources_->setFewest(minBoxesForRelaying(settings));
     configurationFeed_->setPaces(configurationPaces(settings));
     serverFeed_->setPaces(serverPaces(settings));
     if (hallDrainFeed_) {
--- a/src/peer/FeedRecord.cpp
+++ b/src/peer/FeedRecord.cpp
@@ -60,7 +60,7 @@
 
 bool FeedRecord::answersAtOnce(const FeedAsk &ask) const
 {
-    return lost_ || !history_.at() || history_.hasNewsSince(ask.at);
+    return lost_ || !history_.at() || history_.hasChangesSince(ask.at);
 }
 
 FeedAnswer FeedRecord::answerHead(const FeedAsk &ask, Instant question) const
@@ -82,9 +82,9 @@
     if (knowsNothing()) {
         return answer;
     }
-    store::FeedNews news = history_.since(ask.at);
+    store::FeedUpdate news = history_.since(ask.at);
     answer.whole = news.whole;
-    answer.toldMs = told(question, news.told);
+    answer.toldMs = told(question, news.reportTime);
     answer.objects = std::move(news.objects);
     nameOnly(answer.objects, largestFor(ask, largest));
     return answer;
@@ -111,7 +111,7 @@
     if (known != told_.end()) {
         return *known;
     }
-    store::FeedNews news = history_.since(since);
+    store::FeedUpdate news = history_.since(since);
     nameOnly(news.objects, largest);
     Bytes objects = encodeObjects(news.objects);
     std::size_t bytes = 0;
@@ -121,8 +121,8 @@
     });
     told_.erase(tooMuch, told_.end());
     told_.resize(std::min(told_.size(), MostTold - 1));
-    told_.push_front(
-            {since, largest, news.whole, !news.objects.empty(), news.told, std::move(objects)});
+    told_.push_front({since, largest, news.whole, !news.objects.empty(), news.reportTime,
+                      std::move(objects)});
     return told_.front();
 }
 
--- a/src/store/AnswerRoom.cpp
+++ b/src/store/AnswerBudget.cpp
@@ -1,4 +1,4 @@
-#include "store/AnswerRoom.h"
+#include "store/AnswerBudget.h"
 
 namespace limereel::store {
 
@@ -12,13 +12,13 @@
 
 } // namespace
 
-AnswerRoom::AnswerRoom(double linkMbps)
+AnswerBudget::AnswerBudget(double linkMbps)
     : most_(static_cast<std::size_t>((linkMbps > 0 ? linkMbps : UntoldMbps) * BytesPerMegabit
                                      * SecondsOfLink))
 {
 }
 
-bool AnswerRoom::take(std::size_t bytes)
+bool AnswerBudget::take(std::size_t bytes)
 {
     const bool alone = held_ == 0;
     if (!alone && bytes > SmallAnswer && held_ + bytes > most_) {
--- a/src/store/AnswerRoom.h
+++ b/src/store/AnswerBudget.h
@@ -12,12 +12,12 @@
 namespace limereel::store {
 
 /** The room of one relay. Pure. */
-class AnswerRoom
+class AnswerBudget
 {
 public:
     /** \param linkMbps of the relay's own link: what that sends in half a second has room; 0:
      * untold. */
-    explicit AnswerRoom(double linkMbps);
+    explicit AnswerBudget(double linkMbps);
 
     /** Takes \a bytes of the room; false if there isn't so much left. One answer always has room,
      * and small ones, which all the others wait for, are never turned away. */
--- a/src/store/FeedPace.cpp
+++ b/src/store/FeedPace.cpp
@@ -49,7 +49,7 @@
 FeedPace relayPace(const FeedPace &pace, const RelayBounds &bounds)
 {
     // A fifth is left for slow boxes; the rest holds a pause and a watch of the same length.
-    const Duration left = bounds.knownIn * 4 / 5 - pace.answer - RelayAnswer;
+    const Duration left = bounds.changeKnownWithin * 4 / 5 - pace.answer - RelayAnswer;
     Duration wait = std::min<Duration>(pace.wait, left / 2);
     if (bounds.usableFor > 0s) {
         // Two watches and a hold are three fifths of it; two fifths are left to find another relay.
@@ -61,17 +61,17 @@
     return relaying;
 }
 
-Duration holdOf(const FeedPace &relaying)
+Duration relayHoldTime(const FeedPace &relaying)
 {
     return relaying.wait;
 }
 
-Duration oldestHeard(Duration usableFor)
+Duration maxRelayedAge(Duration usableFor)
 {
     return usableFor * 4 / 5;
 }
 
-std::size_t fewestRelayed(const FeedPace &alone, const FeedPace &relaying)
+std::size_t minBoxesForRelaying(const FeedPace &alone, const FeedPace &relaying)
 {
     constexpr double Relays = 2;
     const double aloneWait = static_cast<double>(alone.wait.count());
--- a/src/store/FeedPace.h
+++ b/src/store/FeedPace.h
@@ -48,8 +48,8 @@
 /** What boxes that hear through a relay must still keep. */
 struct RelayBounds
 {
-    kernel::Duration usableFor{}; ///< Age that a confirmation may reach; zero: no matter.
-    kernel::Duration knownIn{};   ///< A change must be known at each box by then.
+    kernel::Duration usableFor{};         ///< Age that a confirmation may reach; zero: no matter.
+    kernel::Duration changeKnownWithin{}; ///< A change must be known at each box by then.
 };
 
 /**
@@ -62,15 +62,15 @@
 
 /** How long a relay that has no news may hold an ask: as long as one of its own watches, which
  * brings the next confirmation. */
-kernel::Duration holdOf(const FeedPace &relaying);
+kernel::Duration relayHoldTime(const FeedPace &relaying);
 
 /** From when on a confirmation is so old that its relay is given up, with a part of \a usableFor
  * left to find another one. */
-kernel::Duration oldestHeard(kernel::Duration usableFor);
+kernel::Duration maxRelayedAge(kernel::Duration usableFor);
 
 /** From how many boxes of a hall on two relays ask the store less than all boxes do, each by
  * itself. Below it nobody relays. */
-std::size_t fewestRelayed(const FeedPace &alone, const FeedPace &relaying);
+std::size_t minBoxesForRelaying(const FeedPace &alone, const FeedPace &relaying);
 
 /** Longest wait for the answer of a relay beyond the hold. A box with an eighth of a core is held
  * up for 0.2 to 0.3 s now and then; one given up without need costs its asker one more question. */
--- a/src/store/ListWait.cpp
+++ b/src/store/ListWait.cpp
@@ -20,7 +20,7 @@
     if (!need.relaysKnown) {
         return !need.known && within(need.firstPage, AwaitFirstRelays);
     }
-    return !need.inLine
+    return !need.readsStoreDirectly
            && (within(need.firstPage, AwaitRelays) || within(need.historyLost, AwaitRelays));
 }
 
--- a/src/store/ListWait.h
+++ b/src/store/ListWait.h
@@ -16,9 +16,9 @@
 /** What a box knows of a list that it needs. */
 struct ListNeed
 {
-    bool known = false;       ///< The box has had a whole list before.
-    bool relaysKnown = false; ///< Its hall has relays, as far as it knows.
-    bool inLine = false;      ///< It is one of them.
+    bool known = false;              ///< The box has had a whole list before.
+    bool relaysKnown = false;        ///< Its hall has relays, as far as it knows.
+    bool readsStoreDirectly = false; ///< It is one of them.
     /** When the first page said that there are more; nothing if it wasn't read. */
     std::optional<kernel::Instant> firstPage;
     /** When the store had forgotten what changed since a long list that the box has; nothing if it
--- a/src/store/ObjectHistory.cpp
+++ b/src/store/ObjectHistory.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void ObjectHistory::replace(std::vector<KeptObject> objects, std::uint64_t at, Instant told)
+void ObjectHistory::replace(std::vector<KeptObject> objects, std::uint64_t at, Instant reportTime)
 {
     if (at_ && at <= *at_) {
         return;
@@ -28,12 +28,12 @@
                           && known->second.object.revision == object.revision;
         if (!same) {
             const std::string name = object.name;
-            set(name, {std::move(object), at, told});
+            set(name, {std::move(object), at, reportTime});
         }
     }
     for (auto &[name, entry] : entries_) {
         if (!entry.object.gone && !listed.contains(name)) {
-            set(name, {{.name = name, .revision = at, .gone = true}, at, told});
+            set(name, {{.name = name, .revision = at, .gone = true}, at, reportTime});
         }
     }
     if (at_) {
@@ -45,12 +45,12 @@
     forgetOldest();
 }
 
-void ObjectHistory::change(std::vector<KeptObject> objects, std::uint64_t at, Instant told)
+void ObjectHistory::change(std::vector<KeptObject> objects, std::uint64_t at, Instant reportTime)
 {
     at_ = std::max(at, at_.value_or(0));
     for (KeptObject &object : objects) {
         const std::string name = object.name;
-        set(name, {std::move(object), *at_, told});
+        set(name, {std::move(object), *at_, reportTime});
     }
     forgetOldest();
 }
@@ -97,7 +97,7 @@
     });
 }
 
-bool ObjectHistory::hasNewsSince(std::uint64_t at) const
+bool ObjectHistory::hasChangesSince(std::uint64_t at) const
 {
     return at_ && *at_ > at;
 }
@@ -109,9 +109,9 @@
     return at >= floor_ && !inGap;
 }
 
-FeedNews ObjectHistory::since(std::uint64_t at) const
+FeedUpdate ObjectHistory::since(std::uint64_t at) const
 {
-    FeedNews news;
+    FeedUpdate news;
     news.at = at_.value_or(0);
     if (at >= news.at) {
         return news;
@@ -119,7 +119,7 @@
     news.whole = !canTellSince(at);
     const auto add = [&](const Entry &entry, std::uint64_t known) {
         news.objects.push_back(forAsker(entry.object, known));
-        news.told = std::min(news.told.value_or(entry.told), entry.told);
+        news.reportTime = std::min(news.reportTime.value_or(entry.reportTime), entry.reportTime);
     };
     if (!news.whole) {
         for (auto place = byMark_.lower_bound({at + 1, nullptr}); place != byMark_.end(); ++place) {
--- a/src/store/ObjectHistory.h
+++ b/src/store/ObjectHistory.h
@@ -34,12 +34,12 @@
 };
 
 /** What somebody who knows an earlier revision lacks. */
-struct FeedNews
+struct FeedUpdate
 {
     std::uint64_t at = 0; ///< What this and all before it makes up.
     bool whole = false;   ///< All objects there are; whatever isn't named is gone.
     std::vector<KeptObject> objects;
-    std::optional<kernel::Instant> told; ///< When the earliest of these changes was told.
+    std::optional<kernel::Instant> reportTime; ///< When the earliest of these changes was told.
 };
 
 /** What a whole list comes to for somebody who asked for it. */
@@ -61,10 +61,10 @@
     ~ObjectHistory() = default;
 
     /** Takes a whole list that shows the revision \a at. */
-    void replace(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant told);
+    void replace(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant reportTime);
 
     /** Takes changes that lead to the revision \a at; objects as they are now. */
-    void change(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant told);
+    void change(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant reportTime);
 
     /** The revision that is known; nothing before the first list. */
     std::optional<std::uint64_t> at() const { return at_; }
@@ -73,11 +73,11 @@
     std::size_t objects() const { return entries_.size() - gone_; }
 
     /** Whether somebody who knows \a at lacks something. */
-    bool hasNewsSince(std::uint64_t at) const;
+    bool hasChangesSince(std::uint64_t at) const;
 
     /** What somebody who knows \a at lacks; \a at 0: somebody who knows nothing. Empty objects if
      * that is more than is known here. To be asked only once something is known. */
-    FeedNews since(std::uint64_t at) const;
+    FeedUpdate since(std::uint64_t at) const;
 
     /** Puts a whole list, sent for what is known here, together with that. Nothing if it leaves out
      * what isn't known: then all has to be asked for. */
@@ -88,7 +88,7 @@
     {
         KeptObject object;
         std::uint64_t mark = 0; ///< Who knows this revision knows the entry.
-        kernel::Instant told;
+        kernel::Instant reportTime;
     };
 
     /** Revisions that one list has passed over, ends not included. */
--- a/src/store/SourceBook.cpp
+++ b/src/store/SourceSelector.cpp
@@ -1,4 +1,4 @@
-#include "store/SourceBook.h"
+#include "store/SourceSelector.h"
 
 #include <algorithm>
 
@@ -15,20 +15,20 @@
 
 } // namespace
 
-SourceBook::SourceBook(SourcePolicy policy)
+SourceSelector::SourceSelector(SourcePolicy policy)
     : policy_(policy)
-    , ownPace_(policy.storeFirst, policy.storeMost)
-    , sparePace_(policy.spareFirst, policy.spareMost)
+    , ownPace_(policy.storePauseFirst, policy.storePauseMax)
+    , sparePace_(policy.relayedPauseFirst, policy.relayedPauseMax)
 {
 }
 
-bool SourceBook::inLine(std::span<const std::uint64_t> relays, std::uint64_t self)
+bool SourceSelector::readsStoreDirectly(std::span<const std::uint64_t> relays, std::uint64_t self)
 {
     return relays.empty() || std::ranges::find(relays, self) != relays.end();
 }
 
-bool SourceBook::relaying(std::span<const std::uint64_t> relays, std::uint64_t self,
-                          Instant now) const
+bool SourceSelector::relaying(std::span<const std::uint64_t> relays, std::uint64_t self,
+                              Instant now) const
 {
     const auto place = std::ranges::find(relays, self);
     if (relays.empty() || place == relays.begin()) {
@@ -39,8 +39,8 @@
 }
 
 // A box that is itself in line asks the store before it asks those behind it.
-std::optional<std::uint64_t> SourceBook::firstRelay(std::span<const std::uint64_t> relays,
-                                                    std::uint64_t self, Instant now) const
+std::optional<std::uint64_t> SourceSelector::firstRelay(std::span<const std::uint64_t> relays,
+                                                        std::uint64_t self, Instant now) const
 {
     for (const std::uint64_t relay : relays) {
         if (relay == self && storeDue(now)) {
@@ -55,8 +55,8 @@
     return std::nullopt;
 }
 
-FeedStep SourceBook::next(std::span<const std::uint64_t> relays, std::uint64_t self, Instant now,
-                          bool storeAllowed) const
+FeedStep SourceSelector::next(std::span<const std::uint64_t> relays, std::uint64_t self,
+                              Instant now, bool storeAllowed) const
 {
     if (relaying(relays, self, now) && storeDue(now)) {
         return {.kind = FeedStep::Kind::Store, .relaying = !relays.empty()};
@@ -64,14 +64,14 @@
     if (const auto relay = firstRelay(relays, self, now)) {
         return {.kind = FeedStep::Kind::Relay, .relay = *relay, .proven = proven_ == *relay};
     }
-    const bool allowed = storeAllowed || inLine(relays, self);
+    const bool allowed = storeAllowed || readsStoreDirectly(relays, self);
     if (allowed && storeDue(now)) {
         return {.kind = FeedStep::Kind::Store, .relaying = false};
     }
     return pauseUntilDue(relays, self, now, allowed);
 }
 
-FeedStep SourceBook::storeStep(Instant now) const
+FeedStep SourceSelector::storeStep(Instant now) const
 {
     if (storeDue(now)) {
         return {.kind = FeedStep::Kind::Store};
@@ -80,8 +80,8 @@
     return {.kind = FeedStep::Kind::Pause, .pause = pause};
 }
 
-FeedStep SourceBook::pauseUntilDue(std::span<const std::uint64_t> relays, std::uint64_t self,
-                                   Instant now, bool storeAllowed) const
+FeedStep SourceSelector::pauseUntilDue(std::span<const std::uint64_t> relays, std::uint64_t self,
+                                       Instant now, bool storeAllowed) const
 {
     Instant due = now + LongestPause;
     if (storeAllowed) {
@@ -96,13 +96,13 @@
     return {.kind = FeedStep::Kind::Pause, .pause = std::max<Duration>(due - now, ShortestPause)};
 }
 
-void SourceBook::noteRelayAnswered(std::uint64_t relay)
+void SourceSelector::noteRelayAnswered(std::uint64_t relay)
 {
     doubts_.erase(relay);
     proven_ = relay;
 }
 
-void SourceBook::noteRelayFailed(std::uint64_t relay, RelayFault fault, Instant now)
+void SourceSelector::noteRelayFailed(std::uint64_t relay, RelayFault fault, Instant now)
 {
     proven_.reset();
     std::erase_if(doubts_,
@@ -113,18 +113,18 @@
     constexpr int MostDoublings = 10;
     const int doublings = std::min(doubt.failures - 1, MostDoublings);
     doubt.until = now
-                  + std::min<Duration>(policy_.doubtMost,
-                                       policy_.doubtFirst * (std::int64_t{1} << doublings));
+                  + std::min<Duration>(policy_.suspicionMax,
+                                       policy_.suspicionFirst * (std::int64_t{1} << doublings));
 }
 
-void SourceBook::noteStoreAnswered()
+void SourceSelector::noteStoreAnswered()
 {
     storeFailures_ = 0;
     ownPace_.succeed();
     sparePace_.succeed();
 }
 
-void SourceBook::noteStoreFailed(bool spare, Instant now, std::mt19937_64 &random)
+void SourceSelector::noteStoreFailed(bool spare, Instant now, std::mt19937_64 &random)
 {
     ++storeFailures_;
     const Duration own = ownPace_.fail(random);
--- a/src/store/SourceBook.h
+++ b/src/store/SourceSelector.h
@@ -45,17 +45,17 @@
 
     /** A relay that failed is looked at again after this; doubled for each failure in a row, as
      * each look at a silent one costs the wait for its answer. */
-    kernel::Duration doubtFirst = 500ms;
-    kernel::Duration doubtMost = 4s;
+    kernel::Duration suspicionFirst = 500ms;
+    kernel::Duration suspicionMax = 4s;
 
     /** Pause after a failed call to the store, of a box that has no relay or is one. */
-    kernel::Duration storeFirst = 50ms;
-    kernel::Duration storeMost = 500ms;
+    kernel::Duration storePauseFirst = 50ms;
+    kernel::Duration storePauseMax = 500ms;
 
     /** The same of a box that others could serve: 295 boxes at the pace above ask a store that is
      * down some 1,000 times a second. */
-    kernel::Duration spareFirst = 2s;
-    kernel::Duration spareMost = 8s;
+    kernel::Duration relayedPauseFirst = 2s;
+    kernel::Duration relayedPauseMax = 8s;
 };
 
 /** Why a relay gave nothing of use. */
@@ -65,10 +65,10 @@
 };
 
 /** The state of one feed. */
-class SourceBook
+class SourceSelector
 {
 public:
-    explicit SourceBook(SourcePolicy policy = {});
+    explicit SourceSelector(SourcePolicy policy = {});
 
     /**
      * Where to ask at \a now.
@@ -97,7 +97,7 @@
     void noteStoreFailed(bool spare, kernel::Instant now, std::mt19937_64 &random);
 
     /** Whether \a self is one of those to ask, or nobody relays. */
-    static bool inLine(std::span<const std::uint64_t> relays, std::uint64_t self);
+    static bool readsStoreDirectly(std::span<const std::uint64_t> relays, std::uint64_t self);
 
     /** Failed calls to the store in a row. */
     int storeFailures() const { return storeFailures_; }
--- a/test/correctness/FeedPaceTest.cpp
+++ b/test/correctness/FeedPaceTest.cpp
@@ -2,7 +2,7 @@
 // whose lateness adds to that of those who ask it.
 
 #include "store/FeedPace.h"
-#include "store/SourceBook.h"
+#include "store/SourceSelector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-const kernel::Duration LongestPause = store::SourcePolicy().storeMost;
+const kernel::Duration LongestPause = store::SourcePolicy().storePauseMax;
 
 } // namespace
 
@@ -123,8 +123,8 @@
     alone.confirmWithin = 4s;
     const kernel::Duration usable = 4400ms;
     const store::FeedPace pace = store::relayPace(alone, {usable, 4s});
-    const kernel::Duration oldest = 2 * pace.wait + store::holdOf(pace);
-    BOOST_TEST((oldest < store::oldestHeard(usable)));
+    const kernel::Duration oldest = 2 * pace.wait + store::relayHoldTime(pace);
+    BOOST_TEST((oldest < store::maxRelayedAge(usable)));
     BOOST_TEST((oldest + store::RelayAnswer + store::RelayAnswer < usable));
 }
 
@@ -134,9 +134,9 @@
     alone.wait = 2s;
     store::FeedPace relaying = alone;
     relaying.wait = 500ms;
-    BOOST_TEST(store::fewestRelayed(alone, relaying) == 9U);
+    BOOST_TEST(store::minBoxesForRelaying(alone, relaying) == 9U);
     relaying.wait = 2s;
-    BOOST_TEST(store::fewestRelayed(alone, relaying) == 3U);
+    BOOST_TEST(store::minBoxesForRelaying(alone, relaying) == 3U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/RelayTest.cpp
+++ b/test/correctness/RelayTest.cpp
@@ -6,11 +6,11 @@
 #include "forward/Freshness.h"
 #include "gateway/FeedPaces.h"
 #include "peer/FeedRecord.h"
-#include "store/AnswerRoom.h"
+#include "store/AnswerBudget.h"
 #include "store/FeedPace.h"
 #include "store/ListWait.h"
 #include "store/RelayOrder.h"
-#include "store/SourceBook.h"
+#include "store/SourceSelector.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -71,18 +71,18 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(SourceBookTest)
+BOOST_AUTO_TEST_SUITE(SourceSelectorTest)
 
 BOOST_AUTO_TEST_CASE(next_nobodyRelays_isTheStore)
 {
-    const store::SourceBook book;
+    const store::SourceSelector book;
     BOOST_TEST((book.next({}, 1, at(0s)).kind == FeedStep::Kind::Store));
     BOOST_TEST(!book.next({}, 1, at(0s)).relaying);
 }
 
 BOOST_AUTO_TEST_CASE(next_firstInLine_asksTheStoreForOthers)
 {
-    const store::SourceBook book;
+    const store::SourceSelector book;
     const std::vector<std::uint64_t> relays = {1, 2, 3};
     BOOST_TEST(book.next(relays, 1, at(0s)).relaying);
     BOOST_TEST((book.next(relays, 2, at(0s)).kind == FeedStep::Kind::Relay));
@@ -91,7 +91,7 @@
 
 BOOST_AUTO_TEST_CASE(next_secondInLineIsAsked_followsTheStoreForAWhile)
 {
-    store::SourceBook book;
+    store::SourceSelector book;
     const std::vector<std::uint64_t> relays = {1, 2, 3};
     book.noteAsked(at(0s));
     BOOST_TEST(book.next(relays, 2, at(2s)).relaying);
@@ -102,7 +102,7 @@
 
 BOOST_AUTO_TEST_CASE(next_relaysFailOneAfterTheOther_storeComesLast)
 {
-    store::SourceBook book;
+    store::SourceSelector book;
     const std::vector<std::uint64_t> relays = {1, 2};
     book.noteRelayFailed(1, store::RelayFault::Silent, at(0s));
     BOOST_TEST(book.next(relays, 9, at(0s)).relay == 2U);
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_CASE(next_relayStaysSilent_isLookedAtLessAndLess)
 {
-    store::SourceBook book;
+    store::SourceSelector book;
     const std::vector<std::uint64_t> relays = {1};
     int looks = 0;
     for (Duration since = 0ms; since < 20s; since += 10ms) {
@@ -134,15 +134,16 @@
     constexpr std::uint64_t Boxes = 59;
     const std::vector<std::uint64_t> relays = {1, 2, 3};
     std::mt19937_64 random(1);
-    std::vector<store::SourceBook> books(Boxes);
+    std::vector<store::SourceSelector> books(Boxes);
     int calls = 0;
     for (Duration since = 0ms; since < 8s; since += 5ms) {
         for (std::uint64_t self = 1; self <= Boxes; ++self) {
-            store::SourceBook &book = books[self - 1];
+            store::SourceSelector &book = books[self - 1];
             const FeedStep step = book.next(relays, self, at(since));
             if (step.kind == FeedStep::Kind::Store) {
                 ++calls;
-                book.noteStoreFailed(!store::SourceBook::inLine(relays, self), at(since), random);
+                book.noteStoreFailed(!store::SourceSelector::readsStoreDirectly(relays, self),
+                                     at(since), random);
             } else if (step.kind == FeedStep::Kind::Relay) {
                 books[step.relay - 1].noteAsked(at(since));
                 book.noteRelayFailed(step.relay, store::RelayFault::Lost, at(since));
@@ -164,10 +165,10 @@
     history.change({object("b", 12)}, 12, at(1s));
     history.change({{.name = "a", .revision = 13, .gone = true}}, 13, at(2s));
     BOOST_TEST(history.since(13).objects.empty());
-    const store::FeedNews late = history.since(12);
+    const store::FeedUpdate late = history.since(12);
     BOOST_TEST_REQUIRE(late.objects.size() == 1U);
     BOOST_TEST(late.objects[0].gone);
-    BOOST_TEST((late.told == at(2s)));
+    BOOST_TEST((late.reportTime == at(2s)));
     BOOST_TEST(history.since(10).objects.size() == 2U);
     BOOST_TEST(!history.since(10).whole);
     // Before the first list nothing can be told apart.
@@ -181,7 +182,7 @@
     history.replace({object("a", 3)}, 10, at(0s));
     BOOST_TEST(history.since(11).objects.empty());
     BOOST_TEST(!history.since(11).whole);
-    BOOST_TEST(!history.hasNewsSince(11));
+    BOOST_TEST(!history.hasChangesSince(11));
 }
 
 // The load: a hundred boxes listed 3,000 servers as the fleet started, their relay a moment later.
@@ -198,7 +199,7 @@
     store::ObjectHistory relay;
     relay.replace(servers, 3001, at(0s));
     peer::FeedAnswer answer;
-    const store::FeedNews news = relay.since(2999);
+    const store::FeedUpdate news = relay.since(2999);
     answer.objects = news.objects;
     BOOST_TEST(news.whole);
     BOOST_TEST(peer::encode(answer).size() < 60000U);
@@ -217,7 +218,7 @@
     history.replace({object("a", 3), object("b", 4)}, 10, at(0s));
     history.replace({object("a", 3)}, 20, at(1s));
     BOOST_TEST(history.since(15).whole);
-    const store::FeedNews news = history.since(10);
+    const store::FeedUpdate news = history.since(10);
     BOOST_TEST(!news.whole);
     BOOST_TEST_REQUIRE(news.objects.size() == 1U);
     BOOST_TEST(news.objects[0].name == "b");
@@ -280,7 +281,7 @@
         known = next;
         const std::uint64_t asker = random() % 201;
         auto state = truths[asker];
-        const store::FeedNews news = history.since(asker);
+        const store::FeedUpdate news = history.since(asker);
         std::vector<store::KeptObject> changes = news.objects;
         if (news.whole) {
             // The asker keeps a history too, and fills in what was left out for it.
@@ -387,7 +388,7 @@
     BOOST_TEST(leavesListToRelays(lost, at(1900ms)));
     BOOST_TEST(!leavesListToRelays(lost, at(2s)));
     store::ListNeed relay = lost;
-    relay.inLine = true;
+    relay.readsStoreDirectly = true;
     BOOST_TEST(!leavesListToRelays(relay, at(0s)));
     store::ListNeed alone = lost;
     alone.relaysKnown = false;
@@ -411,7 +412,7 @@
 {
     constexpr std::size_t List = 4000000;
     const auto granted = [](double linkMbps) {
-        store::AnswerRoom room(linkMbps);
+        store::AnswerBudget room(linkMbps);
         int count = 0;
         for (int asker = 0; asker < 100; ++asker) {
             count += room.take(List) ? 1 : 0;
@@ -425,7 +426,7 @@
 
 BOOST_AUTO_TEST_CASE(answerRoom_small_isNeverTurnedAwayAndAllIsGivenBack)
 {
-    store::AnswerRoom room(20);
+    store::AnswerBudget room(20);
     BOOST_TEST(room.take(4000000));
     BOOST_TEST(room.take(60000));
     BOOST_TEST(!room.take(70000));
@@ -460,7 +461,7 @@
     Duration usableFor = 4400ms; ///< Age of a confirmation; zero: no matter.
     Duration knownIn = 4s;       ///< Time in which each untouched box knows a change.
     Duration contact = 5s;       ///< A trouble this long ago still excuses.
-    Duration oldestHeard = store::oldestHeard(4400ms);
+    Duration maxRelayedAge = store::maxRelayedAge(4400ms);
     store::FeedPace alone;
     store::FeedPace relaying;
 };
@@ -488,7 +489,7 @@
     bounds.usableFor = 0s;
     bounds.knownIn = settings.hallDrainWithin;
     bounds.contact = settings.contact;
-    bounds.oldestHeard = paces.oldestHeard;
+    bounds.maxRelayedAge = paces.maxRelayedAge;
     bounds.alone = paces.alone;
     bounds.relaying = paces.relaying;
     return bounds;
@@ -623,7 +624,7 @@
 
     struct Box
     {
-        store::SourceBook book;
+        store::SourceSelector book;
         peer::FeedRecord record;
         forward::Freshness freshness{4400ms, forward::UnconfirmedKeys::Refuse};
         std::uint64_t life = 0;
@@ -782,8 +783,8 @@
         if (box.call != call) {
             return;
         }
-        box.book.noteStoreFailed(!store::SourceBook::inLine(relays_, index + 1), clockOf(box),
-                                 random_);
+        box.book.noteStoreFailed(!store::SourceSelector::readsStoreDirectly(relays_, index + 1),
+                                 clockOf(box), random_);
         box.failing = true;
         box.record.setLost(true);
         answerHeld(index);
@@ -793,7 +794,7 @@
     void askRelay(std::size_t index, const FeedStep &step)
     {
         Box &box = boxes_[index];
-        const auto hold = step.proven ? store::holdOf(relaying_) / 1ms : 0;
+        const auto hold = step.proven ? store::relayHoldTime(relaying_) / 1ms : 0;
         const peer::FeedAsk ask{random_(), "config", box.record.at().value_or(0),
                                 static_cast<std::uint32_t>(hold), false};
         box.asking = ask;
@@ -883,7 +884,7 @@
         }
         const peer::Verdict verdict =
                 peer::judge(answer, {*box.asking, box.asked, clockOf(box),
-                                     box.record.at().value_or(0), bounds_.oldestHeard});
+                                     box.record.at().value_or(0), bounds_.maxRelayedAge});
         if (verdict != peer::Verdict::Good) {
             return relayFails(index, call, store::RelayFault::Lost);
         }
--- a/test/platform/GatewayStallTest.cpp
+++ b/test/platform/GatewayStallTest.cpp
@@ -132,8 +132,8 @@
         sources.emplace(context, 1000);
         gateway::FeedPaces paces;
         paces.alone.answer = Answer;
-        paces.sources.storeFirst = 10s;
-        paces.sources.storeMost = 10s;
+        paces.sources.storePauseFirst = 10s;
+        paces.sources.storePauseMax = 10s;
         gateway::FeedHooks hooks;
         hooks.changed = [this](std::span<const store::StoredObject> objects) {
             mostAtOnce = std::max(mostAtOnce, objects.size());
