--- a/src/store/AnswerBudget.h
+++ b/src/store/AnswerBudget.h
@@ -2,8 +2,8 @@
  * How many bytes of answers a relay holds for askers at once.
  *
  * The whole list of ten thousand servers is some 4 MB, and an asker with a link of 20 Mbit/s takes
- * 1.6 s to read it. A hall of which half starts again asks a hundred times at once: 400 MB, more
- * than a box has. Who is turned away asks the next relay, and at last the store.
+ * 1.6 s to read it. When half of a hall restarts, a hundred boxes ask at once: 400 MB, more
+ * than a box has. A box that is refused asks the next relay, and finally the store.
  */
 #pragma once
 
@@ -11,16 +11,17 @@
 
 namespace limereel::store {
 
-/** The room of one relay. Pure. */
+/** The answer budget of one relay. Does no I/O. */
 class AnswerBudget
 {
 public:
-    /** \param linkMbps of the relay's own link: what that sends in half a second has room; 0:
-     * untold. */
+    /** \param linkMbps speed of the relay's own link, 0 if unknown. The budget is what the link
+     * sends in half a second. */
     explicit AnswerBudget(double linkMbps);
 
-    /** Takes \a bytes of the room; false if there isn't so much left. One answer always has room,
-     * and small ones, which all the others wait for, are never turned away. */
+    /** Reserves \a bytes of the budget; false if less is left. An answer is always accepted if no
+     * other one is held, and a small answer is accepted at any time, since the other boxes wait for
+     * the changes in it. */
     bool take(std::size_t bytes);
 
     void giveBack(std::size_t bytes) { held_ -= bytes; }
@@ -28,7 +29,7 @@
     std::size_t held() const { return held_; }
 
 private:
-    std::size_t most_;
+    std::size_t maxBytes_;
     std::size_t held_ = 0;
 };
 
--- a/src/store/Backoff.h
+++ b/src/store/Backoff.h
@@ -1,6 +1,6 @@
 /** \file
- * How long to wait before asking the platform again: exponential, with full jitter, so that a
- * fleet that lost the platform together doesn't come back together.
+ * Exponential backoff with jitter for calls to the platform, so that boxes that lost the platform
+ * at the same time don't retry at the same time.
  */
 #pragma once
 
@@ -10,17 +10,17 @@
 
 namespace limereel::store {
 
-/** The wait after a row of failures. */
+/** Computes the wait after consecutive failures. */
 class Backoff
 {
 public:
-    Backoff(kernel::Duration first, kernel::Duration most)
+    Backoff(kernel::Duration first, kernel::Duration maxStep)
         : first_(first)
-        , most_(most)
+        , maxStep_(maxStep)
     {
     }
 
-    /** Counts a failure and gives the wait that follows it: between half of and the whole step. */
+    /** Counts a failure and returns the wait after it, between half of the step and the step. */
     kernel::Duration fail(std::mt19937_64 &random);
 
     void succeed() { failures_ = 0; }
@@ -28,7 +28,7 @@
 
 private:
     kernel::Duration first_;
-    kernel::Duration most_;
+    kernel::Duration maxStep_;
     int failures_ = 0;
 };
 
--- a/src/store/CallShare.h
+++ b/src/store/CallShare.h
@@ -1,9 +1,9 @@
 /** \file
- * The part of the platform's call rates that one router may use.
+ * The share of the platform's call rates that one router may use.
  *
- * The platform serves about a hundred writes and two thousand reads a second for everybody; a
- * waiting watch counts as a read. Each router takes an equal part of three quarters of that, so the
- * sum stays within the rates whatever the routers do, and a part is left for people and tools.
+ * The platform serves about a hundred writes and two thousand reads a second in total; a waiting
+ * watch counts as a read. Each router gets an equal share of three quarters of that, so that the
+ * sum of all routers stays within the rates, and a quarter is left for people and tools.
  */
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace limereel::store {
 
-/** The platform's rates for everybody, calls a second. */
+/** The platform's total rates, in calls per second. */
 struct PlatformRates
 {
     double reads = 2000;
     double writes = 100;
 };
 
-/** One router's rates, calls a second. */
+/** The rates of one router, in calls per second. */
 struct CallShare
 {
     double reads = 0;
     double writes = 0;
 };
 
-/** The part of one of \a routers. An unknown fleet (0) is taken as one of a thousand. */
+/** The share of each of \a routers. If their number is unknown (0), a thousand are assumed. */
 CallShare callShare(const PlatformRates &rates, std::size_t routers);
 
 } // namespace limereel::store
--- a/src/store/Directory.h
+++ b/src/store/Directory.h
@@ -1,5 +1,6 @@
 /** \file
- * The platform's list of live and leaving boxes and backend servers, as values. It lags.
+ * The platform's list of boxes and backend servers that are live or shutting down. The list may be
+ * out of date.
  */
 #pragma once
 
@@ -21,8 +22,8 @@
 struct ListedBox
 {
     kernel::BoxId box;
-    AddressText peer;    ///< For other boxes.
-    AddressText control; ///< For operators.
+    AddressText peer;    ///< Address for other boxes.
+    AddressText control; ///< Address for operators.
     bool leaving = false;
 
     bool operator==(const ListedBox &) const = default;
@@ -34,8 +35,8 @@
     kernel::BackendId backend;
     AddressText address;
     std::string service;       ///< Name of the plain service; empty for a model engine.
-    std::size_t room = 1;      ///< Of an engine: models that fit at once.
-    bool checksTokens = false; ///< Of an engine: whether it refuses orders with an old token.
+    std::size_t room = 1;      ///< Of an engine: number of models that fit at once.
+    bool checksTokens = false; ///< Of an engine: whether it refuses requests with an old token.
     bool leaving = false;
 
     bool isEngine() const { return service.empty(); }
@@ -53,16 +54,16 @@
 };
 
 /**
- * Whether \a next may follow \a last at once. One that names fewer than half of the backend servers
- * is more likely a fault of the list (a restore, an outage of what fills it) than of the hall; a
- * reader waits until it has stood for a while.
+ * Whether \a next may replace \a last immediately. A list that names fewer than half of the last
+ * one's backend servers is more likely a fault of the list (a restore, an outage of what fills it)
+ * than of the hall; a reader accepts such a list only after it has stayed so for a while.
  */
 bool plausible(const HallList &last, const HallList &next);
 
-/** The list in \a json; nothing if it is none. Never throws. */
+/** Parses a list from \a json; nullopt if that is not a valid list. Never throws. */
 std::optional<HallList> hallListFromJson(std::string_view json);
 
-/** The names in a JSON array; nothing if it is none. */
+/** Parses a JSON array of names; nullopt if \a json is not one. */
 std::optional<std::vector<std::string>> namesFromJson(std::string_view json);
 
 } // namespace limereel::store
--- a/src/store/FeedPace.cpp
+++ b/src/store/FeedPace.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Shorter watches load the store for little: it answers in some milliseconds.
+// Shorter watches load the store for little gain: it answers within milliseconds.
 constexpr Duration ShortestWatch = 200ms;
 
 } // namespace
@@ -19,8 +19,8 @@
     Duration wait = pace.wait;
     if (pace.confirmWithin > 0s) {
         wait = std::min<Duration>(wait, pace.confirmWithin / 2 - latency);
-        // After a change and its pause, less is left. Without this, all boxes refused keys for half
-        // a second after each change that came late in their watches.
+        // After a change and its pause, less time is left. Without this limit, all boxes refused
+        // keys for half a second after each change that came late in their watches.
         wait = std::min<Duration>(wait, pace.confirmWithin - age - latency);
     }
     if (pace.giveUpWithin > 0s) {
@@ -31,28 +31,29 @@
 
 Duration answerWait(const FeedPace &pace, Duration latency)
 {
-    constexpr int Spread = 3; ///< Answers may take this many times the last one's time.
-    return std::clamp<Duration>(latency * Spread, pace.answer, pace.longestAnswer);
+    constexpr int LatencyFactor = 3; ///< An answer may take this many times as long as the last.
+    return std::clamp<Duration>(latency * LatencyFactor, pace.answer, pace.longestAnswer);
 }
 
 Duration pageWait(const FeedPace &pace, int failures, bool listed)
 {
-    constexpr int MostDoublings = 3;
-    const Duration longest = pace.answer * (1 << std::clamp(failures, 0, MostDoublings));
+    constexpr int MaxDoublings = 3;
+    const Duration longest = pace.answer * (1 << std::clamp(failures, 0, MaxDoublings));
     if (!listed || pace.giveUpWithin == 0s) {
         return longest;
     }
-    const Duration look = std::max<Duration>(pace.answer, pace.giveUpWithin / 2);
-    return std::min<Duration>(longest, look);
+    const Duration probeWait = std::max<Duration>(pace.answer, pace.giveUpWithin / 2);
+    return std::min<Duration>(longest, probeWait);
 }
 
 FeedPace relayPace(const FeedPace &pace, const RelayBounds &bounds)
 {
-    // A fifth is left for slow boxes; the rest holds a pause and a watch of the same length.
+    // A fifth is left for slow boxes; the rest covers a pause and a watch of the same length.
     const Duration left = bounds.changeKnownWithin * 4 / 5 - pace.answer - RelayAnswer;
     Duration wait = std::min<Duration>(pace.wait, left / 2);
     if (bounds.usableFor > 0s) {
-        // Two watches and a hold are three fifths of it; two fifths are left to find another relay.
+        // Two watches and a held request take three fifths; two fifths are left to find another
+        // relay.
         wait = std::min<Duration>(wait, bounds.usableFor / 5);
     }
     FeedPace relaying = pace;
--- a/src/store/FeedPace.h
+++ b/src/store/FeedPace.h
@@ -1,6 +1,7 @@
 /** \file
- * How long the calls of a feed may take: waits of watches, waits for answers and for pages of a
- * list, so that the bounds of a deployment hold with slow, silent and crowded stores.
+ * Time limits for the calls of a feed: the duration of watches and the timeouts for answers and for
+ * pages of a list. They keep the time bounds of a deployment with stores that are slow, silent or
+ * overloaded.
  */
 #pragma once
 
@@ -8,72 +9,74 @@
 
 namespace limereel::store {
 
-/** The pace of one feed. */
+/** The time limits of one feed. */
 struct FeedPace
 {
-    kernel::Duration wait = 2s; ///< Of one watch, at most.
+    kernel::Duration wait = 2s; ///< Maximum duration of one watch.
 
-    /** Longest age that a confirmation may reach before the next one: two watches in a row, with
-     * what the store takes to answer, and with the pause between them if the first one brought a
-     * change. Zero: no matter. */
+    /** Maximum age of a confirmation when the next one arrives. Two consecutive watches must fit,
+     * with the store's latency and, if the first one brought a change, the pause between them.
+     * Zero: no limit. */
     kernel::Duration confirmWithin{};
 
-    /** Longest time until a watch whose store has fallen silent is given up, its wait included.
-     * Zero: no matter. */
+    /** Maximum time until a watch is given up because the store doesn't answer, including the
+     * watch's own duration. Zero: no limit. */
     kernel::Duration giveUpWithin{};
 
-    kernel::Duration answer = 1s;        ///< Wait for an answer beyond the watch, at least,
-    kernel::Duration longestAnswer = 2s; ///< and at most, from a store that has been slow.
+    kernel::Duration answer = 1s;        ///< Minimum timeout for an answer after the watch.
+    kernel::Duration longestAnswer = 2s; ///< Maximum of that timeout, for a slow store.
 
-    /** Pause after a change, so that changes in quick succession come with one call: the store
-     * counts each, and answers all boxes for each change. */
+    /** Pause after a change, so that one call returns several changes in quick succession: the
+     * store's rate limit counts each call, and each change makes it answer all boxes. */
     kernel::Duration afterChange{};
 
     auto operator<=>(const FeedPace &) const = default;
 };
 
-/** How long a watch may wait at a store that lately took \a latency to answer, if the last
- * confirmation has reached \a age. */
+/** Duration of the next watch at a store whose recent answer took \a latency, if the last
+ * confirmation is \a age old. */
 kernel::Duration watchWait(const FeedPace &pace, kernel::Duration latency,
                            kernel::Duration age = {});
 
-/** How long an answer is waited for, beyond the watch, from such a store. */
+/** Timeout for an answer, beyond the duration of the watch, from such a store. */
 kernel::Duration answerWait(const FeedPace &pace, kernel::Duration latency);
 
-/** How long a page of a list is waited for after \a failures in a row: longer each time, since a
- * crowd of starting boxes fills the store's link, and what is given up has to be sent again. A box
- * that has \a listed before only looks whether the store is back, and soon asks again. */
+/** Timeout for a page of a list after \a failures in a row. It grows with each failure, since many
+ * boxes that start at once saturate the store's link, and a page that is given up has to be sent
+ * again. A box that has \a listed before only probes whether the store is back; its timeout stays
+ * short, so that it soon asks again. */
 kernel::Duration pageWait(const FeedPace &pace, int failures, bool listed);
 
-/** What boxes that hear through a relay must still keep. */
+/** Time bounds that also hold for boxes that read through a relay. */
 struct RelayBounds
 {
-    kernel::Duration usableFor{};         ///< Age that a confirmation may reach; zero: no matter.
-    kernel::Duration changeKnownWithin{}; ///< A change must be known at each box by then.
+    kernel::Duration usableFor{};         ///< Maximum age of a confirmation; zero: no limit.
+    kernel::Duration changeKnownWithin{}; ///< Time in which each box must know a change.
 };
 
 /**
- * The pace of a relay, whose own lateness adds to that of those who ask it. The bound in which a
- * change must be known holds the pause after another change, one watch that falls silent, the wait
- * until it is given up, and the turn to the next relay; confirmations pass two watches of the relay
- * and one hold of an ask.
+ * The time limits of a relay, whose delay adds to that of the boxes that ask it. The bound for a
+ * change covers the pause after another change, one watch that gets no answer, the timeout until it
+ * is given up, and the switch to the next relay. The bound for a confirmation covers two watches of
+ * the relay and one request that the relay holds.
  */
 FeedPace relayPace(const FeedPace &pace, const RelayBounds &bounds);
 
-/** How long a relay that has no news may hold an ask: as long as one of its own watches, which
+/** How long a relay without changes may hold a request: as long as one of its own watches, which
  * brings the next confirmation. */
 kernel::Duration relayHoldTime(const FeedPace &relaying);
 
-/** From when on a confirmation is so old that its relay is given up, with a part of \a usableFor
- * left to find another one. */
+/** Age of a confirmation from which its relay is given up. A part of \a usableFor is left to find
+ * another relay. */
 kernel::Duration maxRelayedAge(kernel::Duration usableFor);
 
-/** From how many boxes of a hall on two relays ask the store less than all boxes do, each by
- * itself. Below it nobody relays. */
+/** Number of boxes in a hall from which on two relays call the store less often than all boxes
+ * would, each by itself. In smaller halls no box relays. */
 std::size_t minBoxesForRelaying(const FeedPace &alone, const FeedPace &relaying);
 
-/** Longest wait for the answer of a relay beyond the hold. A box with an eighth of a core is held
- * up for 0.2 to 0.3 s now and then; one given up without need costs its asker one more question. */
+/** Timeout for the answer of a relay, beyond the time that the relay holds the request. A box with
+ * an eighth of a core stalls for 0.2 to 0.3 s now and then; giving up a relay that works costs one
+ * more request. */
 inline constexpr kernel::Duration RelayAnswer = 400ms;
 
 } // namespace limereel::store
--- a/src/store/ListWait.cpp
+++ b/src/store/ListWait.cpp
@@ -4,10 +4,12 @@
 
 namespace {
 
-// Seeds answer a greeting within some milliseconds; where nobody does, the list goes on after it.
+// Seeds answer a greeting within milliseconds. If none does, the box reads the list after this
+// time.
 constexpr kernel::Duration AwaitFirstRelays = 500ms;
-// A relay has the store back, and has read a list of 50 pages, within a second; two leave room for
-// one that died. Then a box reads on by itself, within the seconds that a leaving server has.
+// A relay reconnects to the store and reads a list of 50 pages within a second. Two seconds allow
+// for a relay that died. Then the box reads on by itself, within the seconds that a server that
+// shuts down still has.
 constexpr kernel::Duration AwaitRelays = 2s;
 
 } // namespace
--- a/src/store/ListWait.h
+++ b/src/store/ListWait.h
@@ -1,9 +1,9 @@
 /** \file
- * Whether a box that needs a list of the store waits for the relays of its hall to read it.
+ * Decides whether a box that needs a list of the store waits for the relays of its hall to read it.
  *
- * With ten thousand servers a list is 50 pages and 4 MB. A fleet of 985 boxes of which half starts
- * again, or whose relays lose the store for two seconds, would ask for 25,000 pages and 2 GB at
- * once. The relays read the list once and tell the others what they lack.
+ * With ten thousand servers a list has 50 pages and 4 MB. If half of a fleet of 985 boxes restarts,
+ * or its relays lose the store for two seconds, the boxes would ask for 25,000 pages and 2 GB at
+ * once. Instead the relays read the list once and send the other boxes what they lack.
  */
 #pragma once
 
@@ -13,22 +13,22 @@
 
 namespace limereel::store {
 
-/** What a box knows of a list that it needs. */
+/** The state of a box that needs a list. */
 struct ListNeed
 {
-    bool known = false;              ///< The box has had a whole list before.
-    bool relaysKnown = false;        ///< Its hall has relays, as far as it knows.
-    bool readsStoreDirectly = false; ///< It is one of them.
-    /** When the first page said that there are more; nothing if it wasn't read. */
+    bool known = false;              ///< The box has had a complete list before.
+    bool relaysKnown = false;        ///< The box knows of relays in its hall.
+    bool readsStoreDirectly = false; ///< The box is a relay, or its hall has none.
+    /** When the first page reported that there are more; nullopt if none was read. */
     std::optional<kernel::Instant> firstPage;
-    /** When the store had forgotten what changed since a long list that the box has; nothing if it
-     * hadn't, or if the list is short. */
+    /** When the store turned out to have no history since the long list that the box has; nullopt
+     * if it has the history, or if the list is short. */
     std::optional<kernel::Instant> historyLost;
 
     auto operator<=>(const ListNeed &) const = default;
 };
 
-/** Whether the store isn't asked for the list, or for the rest of it, for now. */
+/** Whether the box doesn't ask the store for the list, or the rest of it, at \a now. */
 bool leavesListToRelays(const ListNeed &need, kernel::Instant now);
 
 } // namespace limereel::store
--- a/src/store/ObjectFormat.h
+++ b/src/store/ObjectFormat.h
@@ -1,7 +1,7 @@
 /** \file
- * How a store of named objects is spoken to: what is asked for, and how its answers read.
+ * Protocol of a store of named objects: how requests are built and answers are parsed.
  *
- * An object's content is JSON here; what it means is its reader's matter.
+ * An object's content is JSON here and is not interpreted.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace limereel::store {
 
-/** An object as it was read, or that it is gone. */
+/** An object as read from the store, or the record of its removal. */
 struct StoredObject
 {
     std::string name;
@@ -26,27 +26,27 @@
     nlohmann::json content;
 };
 
-/** A part of a list of objects. */
+/** One page of a list of objects. */
 struct ObjectPage
 {
     std::vector<StoredObject> objects;
-    bool more = false;          ///< Ask on after the last name.
-    std::uint64_t at = 0;       ///< The store's revision that the page shows.
-    std::size_t unreadable = 0; ///< Objects left out as not even their names could be read.
+    bool more = false;          ///< More objects follow after the last name.
+    std::uint64_t at = 0;       ///< The store's revision at which the page was read.
+    std::size_t unreadable = 0; ///< Number of objects omitted because their names couldn't be read.
 };
 
-/** What has changed since a revision. */
+/** The changes since a revision. */
 struct ObjectChanges
 {
     std::vector<StoredObject> objects;
-    std::uint64_t at = 0;       ///< Go on from here.
-    std::size_t unreadable = 0; ///< Changes left out as not even a name could be read.
+    std::uint64_t at = 0;       ///< Revision from which to continue.
+    std::size_t unreadable = 0; ///< Number of changes omitted because a name couldn't be read.
 };
 
-/** The hooks of one store interface. */
+/** The request builders and parsers of one store interface. */
 struct ObjectFormat
 {
-    /** The target of the request for the objects of \a kind behind the name \a after. */
+    /** The target of the request for the objects of \a kind that follow the name \a after. */
     std::function<std::string(const std::string &kind, const std::string &after)> listTarget;
 
     /** The target of the request that waits up to \a wait for changes since \a at. */
@@ -54,15 +54,16 @@
             watchTarget;
 
     /** The target of the requests that replace or remove the object \a name. New ones are sent to
-     * the list's target. */
+     * the target of the list. */
     std::function<std::string(const std::string &kind, const std::string &name)> objectTarget;
 
-    /** The body of a request that writes an object. \param revision only over this one. */
+    /** The body of a request that writes an object. \param revision if given, the write replaces
+     * this revision only. */
     std::function<nlohmann::json(const std::string &name, std::optional<std::uint64_t> revision,
                                  nlohmann::json content)>
             writeObject;
 
-    /** Each reads an answer's body; a discarded value is an error. */
+    /** Each parses an answer's body; a discarded JSON value is an error. */
     std::function<tl::expected<StoredObject, std::string>(nlohmann::json body)> readObject;
     std::function<tl::expected<ObjectPage, std::string>(nlohmann::json body)> readPage;
     std::function<tl::expected<ObjectChanges, std::string>(nlohmann::json body)> readChanges;
--- a/src/store/RelayOrder.cpp
+++ b/src/store/RelayOrder.cpp
@@ -19,8 +19,8 @@
     for (auto &[link, boxes] : byLink) {
         std::ranges::sort(boxes);
         const std::size_t wanted = std::min(count - order.size(), boxes.size());
-        for (const std::size_t place : membership::rendezvousOrder(hall, boxes, wanted)) {
-            order.push_back(boxes[place]);
+        for (const std::size_t position : membership::rendezvousOrder(hall, boxes, wanted)) {
+            order.push_back(boxes[position]);
         }
         if (order.size() == count) {
             break;
--- a/src/store/RelayOrder.h
+++ b/src/store/RelayOrder.h
@@ -1,9 +1,11 @@
 /** \file
- * Which boxes of a hall ask the store on behalf of the others: every box works out the same few
- * from the live boxes that it knows, so nobody is elected and nothing is stored.
+ * Selects the boxes of a hall that read the store on behalf of the others (relays). Every box
+ * computes the same few from the live boxes that it knows, so there is no election and no stored
+ * state.
  *
- * Those with the fastest links go first: a relay sends each change to its whole hall. Among equals
- * the order is that of rendezvous hashing, so a box that comes or goes moves nobody else.
+ * Boxes with the fastest links come first, since a relay sends each change to its whole hall. Among
+ * boxes with equal links, rendezvous hashing gives the order, so a box that joins or leaves doesn't
+ * change the order of the others.
  */
 #pragma once
 
@@ -14,21 +16,21 @@
 
 namespace limereel::store {
 
-/** A live box of the own hall. */
+/** A live box of the same hall. */
 struct RelayCandidate
 {
     std::uint64_t box = 0;      ///< Hash of its name.
-    std::uint32_t linkMbps = 0; ///< Of its own link, as it tells; 0: untold.
+    std::uint32_t linkMbps = 0; ///< Speed of its link as it reports it; 0: unknown.
 
     auto operator<=>(const RelayCandidate &) const = default;
 };
 
-/** The boxes to ask, best first; at most \a count. */
+/** The relays, best first; at most \a count. */
 std::vector<std::uint64_t> relayOrder(std::uint64_t hall, const std::vector<RelayCandidate> &live,
                                       std::size_t count);
 
-/** Largest object that a relay passes on to \a boxes over its own link of \a linkMbps, if all are
- * to have it within \a longest; a larger one each box reads from the store. */
+/** Size in bytes of the largest object that a relay with a link of \a linkMbps can send to all of
+ * \a boxes within \a longestSeconds. Each box reads larger objects from the store. */
 std::size_t largestRelayed(double linkMbps, std::size_t boxes, double longestSeconds);
 
 } // namespace limereel::store
--- a/test/correctness/FeedPaceTest.cpp
+++ b/test/correctness/FeedPaceTest.cpp
@@ -1,5 +1,5 @@
-// How long the calls of a feed may take, at stores that are slow, silent or crowded, and at a relay
-// whose lateness adds to that of those who ask it.
+// Time limits for the calls of a feed to stores that are slow, silent or overloaded, and to a relay
+// whose delay adds to that of the boxes that ask it.
 
 #include "store/FeedPace.h"
 #include "store/SourceSelector.h"
@@ -16,9 +16,9 @@
 
 BOOST_AUTO_TEST_SUITE(FeedPaceTest)
 
-// An incident: with half a second for each answer, confirmations came every 2.45 s, and keys were
-// refused for half a second of each.
-BOOST_AUTO_TEST_CASE(watchWait_slowStore_twoWatchesStillFit)
+// Guards against an incident: the store took half a second for each answer, confirmations came
+// every 2.45 s, and boxes refused keys for half a second of each such period.
+BOOST_AUTO_TEST_CASE(watchWait_slowStore_twoWatchesFitWithinBound)
 {
     store::FeedPace pace;
     pace.wait = 2s;
@@ -31,8 +31,9 @@
     BOOST_TEST((store::watchWait(pace, 30s) > kernel::Duration(0s)));
 }
 
-// After a change the feed pauses. With a whole wait behind that, a change late in a watch left all
-// boxes of a fleet without a confirmation for a third of a second to 0.7 s, and keys were refused.
+// The feed pauses after a change. If a watch of full duration followed the pause, a change late in
+// a watch left all boxes of a fleet without a valid confirmation for a third of a second to 0.7 s,
+// and they refused keys.
 BOOST_AUTO_TEST_CASE(watchWait_changeAtTheEndOfAWatch_nextConfirmationIsInTime)
 {
     store::FeedPace pace;
@@ -49,7 +50,7 @@
     BOOST_TEST((store::watchWait(pace, 0ms, 30s) > kernel::Duration(0s)));
 }
 
-// Without keys to confirm, a watch waits as long as a cut may go unnoticed.
+// Without keys to confirm, only the time until a lost store must be noticed limits a watch.
 BOOST_AUTO_TEST_CASE(watchWait_silentStore_watchIsGivenUpWithinTheBound)
 {
     store::FeedPace pace;
@@ -65,8 +66,8 @@
     BOOST_TEST((store::watchWait(pace, 0ms) == kernel::Duration(2s)));
 }
 
-// A finding on the users' bench: a page asked for just before a silent store came back kept the box
-// on an old version for seconds.
+// Guards against a long timeout for a page requested just before a silent store came back, which
+// kept the box on an old version for seconds.
 BOOST_AUTO_TEST_CASE(pageWait_boxHasListedBefore_asksAgainSoon)
 {
     store::FeedPace pace;
@@ -77,7 +78,7 @@
         BOOST_TEST((wait + LongestPause <= kernel::Duration(2300ms)));
     }
     BOOST_TEST((store::pageWait(pace, 3, false) == kernel::Duration(7200ms)));
-    // A bound that no store could keep still leaves it the time to answer.
+    // Even with a bound that is too short for any store, the store gets the minimum answer timeout.
     pace.giveUpWithin = 50ms;
     BOOST_TEST((store::pageWait(pace, 3, true) == kernel::Duration(900ms)));
 }
@@ -98,8 +99,8 @@
     BOOST_TEST((store::answerWait(pace, 30s) == kernel::Duration(2s)));
 }
 
-// Bounds of deployments with two to six seconds: what a relay that has just fallen silent adds up
-// to.
+// Deployments have bounds of two to six seconds; the total delay due to a relay that has just
+// fallen silent must stay below them.
 BOOST_AUTO_TEST_CASE(relayPace_relayFallsSilent_changeIsKnownInTime)
 {
     store::FeedPace alone;
@@ -114,8 +115,8 @@
     }
 }
 
-// Keys are refused from usableFor on. A box whose relay dies just before its answer has waited for
-// it, and asks the next one.
+// Boxes refuse keys once a confirmation is older than usableFor. A box whose relay dies just before
+// it answers has waited for that answer and must still have time to ask the next relay.
 BOOST_AUTO_TEST_CASE(relayPace_relayDiesBeforeItsAnswer_confirmationLastsUntilTheNextRelay)
 {
     store::FeedPace alone;
@@ -128,7 +129,7 @@
     BOOST_TEST((oldest + store::RelayAnswer + store::RelayAnswer < usable));
 }
 
-BOOST_AUTO_TEST_CASE(fewestRelayed_twoRelaysAskMoreThanAllBoxes_nobodyRelays)
+BOOST_AUTO_TEST_CASE(minBoxesForRelaying_twoRelaysAskMoreThanAllBoxes_noBoxRelays)
 {
     store::FeedPace alone;
     alone.wait = 2s;
