--- a/src/store/ObjectHistory.cpp
+++ b/src/store/ObjectHistory.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Beyond it those that ask from long ago get everything.
-constexpr std::size_t MostGone = 1024;
-constexpr std::size_t MostGaps = 16;
+// Above these limits, the oldest history is dropped and boxes at older revisions get all objects.
+constexpr std::size_t MaxGone = 1024;
+constexpr std::size_t MaxGaps = 16;
 
 } // namespace
 
@@ -57,24 +57,24 @@
 
 void ObjectHistory::set(const std::string &name, Entry entry)
 {
-    const auto [place, added] = entries_.try_emplace(name);
-    Entry &known = place->second;
+    const auto [position, added] = entries_.try_emplace(name);
+    Entry &known = position->second;
     if (!added) {
-        byMark_.erase({known.mark, &place->first});
+        byMark_.erase({known.mark, &position->first});
         gone_ -= known.object.gone ? 1 : 0;
     }
     known = std::move(entry);
-    byMark_.emplace(known.mark, &place->first);
+    byMark_.emplace(known.mark, &position->first);
     gone_ += known.object.gone ? 1 : 0;
 }
 
 void ObjectHistory::forgetOldest()
 {
-    if (gaps_.size() > MostGaps) {
+    if (gaps_.size() > MaxGaps) {
         floor_ = std::max(floor_, gaps_.front().to);
         gaps_.erase(gaps_.begin());
     }
-    if (gone_ <= MostGone) {
+    if (gone_ <= MaxGone) {
         return;
     }
     std::vector<std::uint64_t> gone;
@@ -102,7 +102,7 @@
     return at_ && *at_ > at;
 }
 
-bool ObjectHistory::canTellSince(std::uint64_t at) const
+bool ObjectHistory::hasHistorySince(std::uint64_t at) const
 {
     const bool inGap = std::ranges::any_of(
             gaps_, [at](const Gap &gap) { return gap.from < at && at < gap.to; });
@@ -111,33 +111,35 @@
 
 FeedUpdate ObjectHistory::since(std::uint64_t at) const
 {
-    FeedUpdate news;
-    news.at = at_.value_or(0);
-    if (at >= news.at) {
-        return news;
+    FeedUpdate update;
+    update.at = at_.value_or(0);
+    if (at >= update.at) {
+        return update;
     }
-    news.whole = !canTellSince(at);
+    update.whole = !hasHistorySince(at);
     const auto add = [&](const Entry &entry, std::uint64_t known) {
-        news.objects.push_back(forAsker(entry.object, known));
-        news.reportTime = std::min(news.reportTime.value_or(entry.reportTime), entry.reportTime);
+        update.objects.push_back(forAsker(entry.object, known));
+        update.reportTime =
+                std::min(update.reportTime.value_or(entry.reportTime), entry.reportTime);
     };
-    if (!news.whole) {
-        for (auto place = byMark_.lower_bound({at + 1, nullptr}); place != byMark_.end(); ++place) {
-            add(entries_.at(*place->second), 0);
+    if (!update.whole) {
+        for (auto position = byMark_.lower_bound({at + 1, nullptr}); position != byMark_.end();
+             ++position) {
+            add(entries_.at(*position->second), 0);
         }
-        return news;
+        return update;
     }
     for (const auto &[name, entry] : entries_) {
         if (!entry.object.gone) {
             add(entry, at);
         }
     }
-    return news;
+    return update;
 }
 
-// Boxes that listed for themselves as the fleet started, and then ask a relay that listed a moment
-// later, need its whole list for what went in between. With contents that is 750 kB of 3,000
-// servers for each of a hundred boxes, names alone are a tenth.
+// Boxes that read the list themselves when the fleet started, and then ask a relay that read it a
+// moment later, get its whole list. With contents this is 750 kB for 3,000 servers, for each of a
+// hundred boxes; the names alone are a tenth of that.
 KeptObject ObjectHistory::forAsker(const KeptObject &object, std::uint64_t at)
 {
     if (object.revision > at) {
--- a/src/store/ObjectHistory.h
+++ b/src/store/ObjectHistory.h
@@ -1,10 +1,11 @@
 /** \file
  * The objects of one kind as a box knows them, kept so that it can pass them on to other boxes:
- * what has changed since a revision, or all of them.
+ * either the changes since a revision, or all objects.
  *
- * A change is marked with the revision that the store's answer went on from, not with its own: a
- * box that asks from in between may be told a thing twice, never too little. After a list the
- * revisions between the one before and it can't be told apart; who asks from there gets everything.
+ * A change is marked with the revision up to which the store's answer led, not with its own. A box
+ * that asks from a revision in between may receive a change twice, but never misses one. A list
+ * doesn't say which revisions between the previous one and its own changed what; a box that asks
+ * from one of these gets all objects.
  */
 #pragma once
 
@@ -20,7 +21,7 @@
 
 namespace limereel::store {
 
-/** An object with its content as text. */
+/** An object with its content as JSON text. */
 struct KeptObject
 {
     std::string name;
@@ -28,28 +29,28 @@
     bool gone = false;
     bool large = false;     ///< Its content isn't kept; it has to be read from the store.
     std::string text;       ///< The content as JSON.
-    bool unchanged = false; ///< In news: left out, since who asked knows it at this revision.
+    bool unchanged = false; ///< In updates: content omitted, the asker has this revision.
 
     auto operator<=>(const KeptObject &) const = default;
 };
 
-/** What somebody who knows an earlier revision lacks. */
+/** The changes that a box with an earlier revision lacks. */
 struct FeedUpdate
 {
-    std::uint64_t at = 0; ///< What this and all before it makes up.
-    bool whole = false;   ///< All objects there are; whatever isn't named is gone.
+    std::uint64_t at = 0; ///< Revision that the update leads to.
+    bool whole = false;   ///< Contains all objects; an object not named no longer exists.
     std::vector<KeptObject> objects;
-    std::optional<kernel::Instant> reportTime; ///< When the earliest of these changes was told.
+    std::optional<kernel::Instant> reportTime; ///< When the store reported the earliest change.
 };
 
-/** What a whole list comes to for somebody who asked for it. */
+/** A whole list received from a relay, merged with the objects known before. */
 struct MergedList
 {
-    std::vector<KeptObject> all;     ///< The list with what was left out filled in.
-    std::vector<KeptObject> changes; ///< What is new in it, and what it names no more as gone.
+    std::vector<KeptObject> all;     ///< The list with the omitted contents filled in.
+    std::vector<KeptObject> changes; ///< New or changed objects, and removed ones as gone.
 };
 
-/** The history. Pure: time is handed in. */
+/** The history. Does no I/O and reads no clock: times are passed in. */
 class ObjectHistory
 {
 public:
@@ -60,38 +61,39 @@
     ObjectHistory &operator=(ObjectHistory &&) = default;
     ~ObjectHistory() = default;
 
-    /** Takes a whole list that shows the revision \a at. */
+    /** Replaces all objects by a whole list read at the revision \a at. */
     void replace(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant reportTime);
 
-    /** Takes changes that lead to the revision \a at; objects as they are now. */
+    /** Applies changes that lead to the revision \a at; \a objects are in their new state. */
     void change(std::vector<KeptObject> objects, std::uint64_t at, kernel::Instant reportTime);
 
-    /** The revision that is known; nothing before the first list. */
+    /** The latest known revision; nullopt before the first list. */
     std::optional<std::uint64_t> at() const { return at_; }
 
-    /** How many objects there are. */
+    /** Number of existing objects. */
     std::size_t objects() const { return entries_.size() - gone_; }
 
-    /** Whether somebody who knows \a at lacks something. */
+    /** Whether a box at revision \a at lacks changes. */
     bool hasChangesSince(std::uint64_t at) const;
 
-    /** What somebody who knows \a at lacks; \a at 0: somebody who knows nothing. Empty objects if
-     * that is more than is known here. To be asked only once something is known. */
+    /** The changes that a box at revision \a at lacks; \a at is 0 for a box that knows nothing.
+     * Without objects if \a at is not older than the known revision. Call only once a revision is
+     * known. */
     FeedUpdate since(std::uint64_t at) const;
 
-    /** Puts a whole list, sent for what is known here, together with that. Nothing if it leaves out
-     * what isn't known: then all has to be asked for. */
+    /** Merges a whole list, sent for the revision known here, with the known objects. Nullopt if it
+     * omits contents that aren't known here: then the caller has to ask for everything. */
     std::optional<MergedList> merge(std::vector<KeptObject> whole) const;
 
 private:
     struct Entry
     {
         KeptObject object;
-        std::uint64_t mark = 0; ///< Who knows this revision knows the entry.
+        std::uint64_t mark = 0; ///< A box at this revision or later knows the entry.
         kernel::Instant reportTime;
     };
 
-    /** Revisions that one list has passed over, ends not included. */
+    /** Range of revisions skipped by a list, ends not included. */
     struct Gap
     {
         std::uint64_t from = 0;
@@ -100,15 +102,16 @@
 
     void set(const std::string &name, Entry entry);
     static KeptObject forAsker(const KeptObject &object, std::uint64_t at);
-    bool canTellSince(std::uint64_t at) const;
+    bool hasHistorySince(std::uint64_t at) const;
     void forgetOldest();
 
     std::optional<std::uint64_t> at_;
-    std::uint64_t floor_ = 0;              ///< Who knows less gets everything.
-    std::map<std::string, Entry> entries_; ///< Gone objects included.
-    std::size_t gone_ = 0;                 ///< How many of them are gone.
-    /** The entries by their marks, so that what somebody lacks is found without looking at the
-     * rest: a relay is asked by its whole hall for each change. Names lie in entries_. */
+    std::uint64_t floor_ = 0;              ///< Boxes at older revisions get all objects.
+    std::map<std::string, Entry> entries_; ///< Including removed objects.
+    std::size_t gone_ = 0;                 ///< Number of removed objects in entries_.
+    /** The entries ordered by mark, so that the changes since a revision are found without a scan
+     * of all entries: the whole hall asks a relay for each change. Points to the keys of entries_.
+     */
     std::set<std::pair<std::uint64_t, const std::string *>> byMark_;
     std::vector<Gap> gaps_;
 };
--- a/src/store/SourceSelector.cpp
+++ b/src/store/SourceSelector.cpp
@@ -11,14 +11,14 @@
 
 constexpr Duration ShortestPause = 20ms;
 constexpr Duration LongestPause = 500ms;
-constexpr Duration ForgetDoubtAfter = 60s;
+constexpr Duration ForgetSuspicionAfter = 60s;
 
 } // namespace
 
 SourceSelector::SourceSelector(SourcePolicy policy)
     : policy_(policy)
     , ownPace_(policy.storePauseFirst, policy.storePauseMax)
-    , sparePace_(policy.relayedPauseFirst, policy.relayedPauseMax)
+    , relayedPace_(policy.relayedPauseFirst, policy.relayedPauseMax)
 {
 }
 
@@ -30,15 +30,15 @@
 bool SourceSelector::relaying(std::span<const std::uint64_t> relays, std::uint64_t self,
                               Instant now) const
 {
-    const auto place = std::ranges::find(relays, self);
-    if (relays.empty() || place == relays.begin()) {
+    const auto position = std::ranges::find(relays, self);
+    if (relays.empty() || position == relays.begin()) {
         return true;
     }
     const bool askedLately = askedAt_ && now - *askedAt_ < policy_.askedKept;
-    return place != relays.end() && askedLately;
+    return position != relays.end() && askedLately;
 }
 
-// A box that is itself in line asks the store before it asks those behind it.
+// A box that is itself a relay asks the store before it asks the relays after it in the order.
 std::optional<std::uint64_t> SourceSelector::firstRelay(std::span<const std::uint64_t> relays,
                                                         std::uint64_t self, Instant now) const
 {
@@ -46,9 +46,9 @@
         if (relay == self && storeDue(now)) {
             return std::nullopt;
         }
-        const auto doubt = doubts_.find(relay);
-        const bool doubted = doubt != doubts_.end() && now < doubt->second.until;
-        if (relay != self && !doubted) {
+        const auto suspicion = suspicions_.find(relay);
+        const bool suspected = suspicion != suspicions_.end() && now < suspicion->second.until;
+        if (relay != self && !suspected) {
             return relay;
         }
     }
@@ -62,7 +62,7 @@
         return {.kind = FeedStep::Kind::Store, .relaying = !relays.empty()};
     }
     if (const auto relay = firstRelay(relays, self, now)) {
-        return {.kind = FeedStep::Kind::Relay, .relay = *relay, .proven = proven_ == *relay};
+        return {.kind = FeedStep::Kind::Relay, .relay = *relay, .proven = provenRelay_ == *relay};
     }
     const bool allowed = storeAllowed || readsStoreDirectly(relays, self);
     if (allowed && storeDue(now)) {
@@ -76,7 +76,7 @@
     if (storeDue(now)) {
         return {.kind = FeedStep::Kind::Store};
     }
-    const Duration pause = std::clamp<Duration>(storeAt_ - now, ShortestPause, LongestPause);
+    const Duration pause = std::clamp<Duration>(storeRetryAt_ - now, ShortestPause, LongestPause);
     return {.kind = FeedStep::Kind::Pause, .pause = pause};
 }
 
@@ -85,12 +85,12 @@
 {
     Instant due = now + LongestPause;
     if (storeAllowed) {
-        due = std::min(due, storeAt_);
+        due = std::min(due, storeRetryAt_);
     }
     for (const std::uint64_t relay : relays) {
-        const auto doubt = doubts_.find(relay);
-        if (relay != self && doubt != doubts_.end()) {
-            due = std::min(due, doubt->second.until);
+        const auto suspicion = suspicions_.find(relay);
+        if (relay != self && suspicion != suspicions_.end()) {
+            due = std::min(due, suspicion->second.until);
         }
     }
     return {.kind = FeedStep::Kind::Pause, .pause = std::max<Duration>(due - now, ShortestPause)};
@@ -98,38 +98,40 @@
 
 void SourceSelector::noteRelayAnswered(std::uint64_t relay)
 {
-    doubts_.erase(relay);
-    proven_ = relay;
+    suspicions_.erase(relay);
+    provenRelay_ = relay;
 }
 
 void SourceSelector::noteRelayFailed(std::uint64_t relay, RelayFault fault, Instant now)
 {
-    proven_.reset();
-    std::erase_if(doubts_,
-                  [now](const auto &entry) { return entry.second.until + ForgetDoubtAfter < now; });
-    Doubt &doubt = doubts_[relay];
-    // One that answers at once costs nothing to look at again, and tells when the store is back.
-    doubt.failures = fault == RelayFault::Lost ? 1 : doubt.failures + 1;
-    constexpr int MostDoublings = 10;
-    const int doublings = std::min(doubt.failures - 1, MostDoublings);
-    doubt.until = now
-                  + std::min<Duration>(policy_.suspicionMax,
-                                       policy_.suspicionFirst * (std::int64_t{1} << doublings));
+    provenRelay_.reset();
+    std::erase_if(suspicions_, [now](const auto &entry) {
+        return entry.second.until + ForgetSuspicionAfter < now;
+    });
+    Suspicion &suspicion = suspicions_[relay];
+    // A relay that answers at once is cheap to ask again, and its answer shows when the store is
+    // back.
+    suspicion.failures = fault == RelayFault::Lost ? 1 : suspicion.failures + 1;
+    constexpr int MaxDoublings = 10;
+    const int doublings = std::min(suspicion.failures - 1, MaxDoublings);
+    suspicion.until = now
+                      + std::min<Duration>(policy_.suspicionMax,
+                                           policy_.suspicionFirst * (std::int64_t{1} << doublings));
 }
 
 void SourceSelector::noteStoreAnswered()
 {
     storeFailures_ = 0;
     ownPace_.succeed();
-    sparePace_.succeed();
+    relayedPace_.succeed();
 }
 
-void SourceSelector::noteStoreFailed(bool spare, Instant now, std::mt19937_64 &random)
+void SourceSelector::noteStoreFailed(bool servedByRelays, Instant now, std::mt19937_64 &random)
 {
     ++storeFailures_;
     const Duration own = ownPace_.fail(random);
-    const Duration longer = sparePace_.fail(random);
-    storeAt_ = now + (spare ? longer : own);
+    const Duration longer = relayedPace_.fail(random);
+    storeRetryAt_ = now + (servedByRelays ? longer : own);
 }
 
 } // namespace limereel::store
