--- a/src/store/ObjectHistory.cpp
+++ b/src/store/ObjectHistory.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Beyond it those that ask from long ago get everything.
-constexpr std::size_t MostGone = 1024;
-constexpr std::size_t MostGaps = 16;
+// Above these limits, the oldest history is dropped and boxes at older revisions get all objects.
+constexpr std::size_t MaxGone = 1024;
+constexpr std::size_t MaxGaps = 16;
 
 } // namespace
 
-void ObjectHistory::replace(std::vector<KeptObject> objects, std::uint64_t at, Instant told)
+void ObjectHistory::replace(std::vector<KeptObject> objects, std::uint64_t at, Instant reportTime)
 {
     if (at_ && at <= *at_) {
         return;
@@ -28,12 +28,12 @@
                           && known->second.object.revision == object.revision;
         if (!same) {
             const std::string name = object.name;
-            set(name, {std::move(object), at, told});
+            set(name, {std::move(object), at, reportTime});
         }
     }
     for (auto &[name, entry] : entries_) {
         if (!entry.object.gone && !listed.contains(name)) {
-            set(name, {{.name = name, .revision = at, .gone = true}, at, told});
+            set(name, {{.name = name, .revision = at, .gone = true}, at, reportTime});
         }
     }
     if (at_) {
@@ -45,36 +45,36 @@
     forgetOldest();
 }
 
-void ObjectHistory::change(std::vector<KeptObject> objects, std::uint64_t at, Instant told)
+void ObjectHistory::change(std::vector<KeptObject> objects, std::uint64_t at, Instant reportTime)
 {
     at_ = std::max(at, at_.value_or(0));
     for (KeptObject &object : objects) {
         const std::string name = object.name;
-        set(name, {std::move(object), *at_, told});
+        set(name, {std::move(object), *at_, reportTime});
     }
     forgetOldest();
 }
 
 void ObjectHistory::set(const std::string &name, Entry entry)
 {
-    const auto [place, added] = entries_.try_emplace(name);
-    Entry &known = place->second;
+    const auto [position, added] = entries_.try_emplace(name);
+    Entry &known = position->second;
     if (!added) {
-        byMark_.erase({known.mark, &place->first});
+        byMark_.erase({known.mark, &position->first});
         gone_ -= known.object.gone ? 1 : 0;
     }
     known = std::move(entry);
-    byMark_.emplace(known.mark, &place->first);
+    byMark_.emplace(known.mark, &position->first);
     gone_ += known.object.gone ? 1 : 0;
 }
 
 void ObjectHistory::forgetOldest()
 {
-    if (gaps_.size() > MostGaps) {
+    if (gaps_.size() > MaxGaps) {
         floor_ = std::max(floor_, gaps_.front().to);
         gaps_.erase(gaps_.begin());
     }
-    if (gone_ <= MostGone) {
+    if (gone_ <= MaxGone) {
         return;
     }
     std::vector<std::uint64_t> gone;
@@ -97,47 +97,49 @@
     });
 }
 
-bool ObjectHistory::hasNewsSince(std::uint64_t at) const
+bool ObjectHistory::hasChangesSince(std::uint64_t at) const
 {
     return at_ && *at_ > at;
 }
 
-bool ObjectHistory::canTellSince(std::uint64_t at) const
+bool ObjectHistory::hasHistorySince(std::uint64_t at) const
 {
     const bool inGap = std::ranges::any_of(
             gaps_, [at](const Gap &gap) { return gap.from < at && at < gap.to; });
     return at >= floor_ && !inGap;
 }
 
-FeedNews ObjectHistory::since(std::uint64_t at) const
+FeedUpdate ObjectHistory::since(std::uint64_t at) const
 {
-    FeedNews news;
-    news.at = at_.value_or(0);
-    if (at >= news.at) {
-        return news;
+    FeedUpdate update;
+    update.at = at_.value_or(0);
+    if (at >= update.at) {
+        return update;
     }
-    news.whole = !canTellSince(at);
+    update.whole = !hasHistorySince(at);
     const auto add = [&](const Entry &entry, std::uint64_t known) {
-        news.objects.push_back(forAsker(entry.object, known));
-        news.told = std::min(news.told.value_or(entry.told), entry.told);
+        update.objects.push_back(forAsker(entry.object, known));
+        update.reportTime =
+                std::min(update.reportTime.value_or(entry.reportTime), entry.reportTime);
     };
-    if (!news.whole) {
-        for (auto place = byMark_.lower_bound({at + 1, nullptr}); place != byMark_.end(); ++place) {
-            add(entries_.at(*place->second), 0);
+    if (!update.whole) {
+        for (auto position = byMark_.lower_bound({at + 1, nullptr}); position != byMark_.end();
+             ++position) {
+            add(entries_.at(*position->second), 0);
         }
-        return news;
+        return update;
     }
     for (const auto &[name, entry] : entries_) {
         if (!entry.object.gone) {
             add(entry, at);
         }
     }
-    return news;
+    return update;
 }
 
-// Boxes that listed for themselves as the fleet started, and then ask a relay that listed a moment
-// later, need its whole list for what went in between. With contents that is 750 kB of 3,000
-// servers for each of a hundred boxes, names alone are a tenth.
+// Boxes that read the list themselves when the fleet started, and then ask a relay that read it a
+// moment later, get its whole list. With contents this is 750 kB for 3,000 servers, for each of a
+// hundred boxes; the names alone are a tenth of that.
 KeptObject ObjectHistory::forAsker(const KeptObject &object, std::uint64_t at)
 {
     if (object.revision > at) {
