--- a/src/gateway/BackendExchange.cpp
+++ b/src/gateway/BackendExchange.cpp
@@ -52,10 +52,10 @@
 {
 }
 
-void BackendExchange::release()
+void BackendExchange::returnUnused()
 {
     if (pooled_) {
-        pool_.putBack(server_, std::move(*pooled_));
+        pool_.returnUnused(server_, std::move(*pooled_));
         pooled_.reset();
     } else {
         connection_->close();
@@ -68,21 +68,21 @@
 void BackendExchange::giveBack(std::optional<kernel::Duration> keptFor)
 {
     run_.interrupt->connection.reset();
-    pool_.give(server_, connection_, keptFor, connection_->rested());
+    pool_.returnUsed(server_, connection_, keptFor, connection_->rested());
 }
 
-asio::awaitable<AttemptEnd> BackendExchange::play()
+asio::awaitable<AttemptEnd> BackendExchange::sendAndForward()
 {
     run_.interrupt->connection = connection_;
     run_.sentAt = run_.context.now();
-    run_.world.servers().begin(server_.id, run_.prompt(), run_.context.now());
+    run_.fleetView.servers().begin(server_.id, run_.prompt(), run_.context.now());
     if (run_.repeatable() && run_.route.mostAttempts > run_.counts.sends + 1) {
         armSilence(firstLook(run_, server_));
     }
     const AttemptEnd end = co_await exchange();
     silenceTimer_.cancel();
     run_.interrupt->connection.reset();
-    run_.world.servers().end(server_.id);
+    run_.fleetView.servers().end(server_.id);
     co_return end;
 }
 
@@ -92,10 +92,10 @@
     silenceTimer_.async_wait([this, interrupt = run_.interrupt, connection = connection_,
                               after](boost::system::error_code stopped) {
         // The interrupt and the connection outlive this object.
-        if (stopped || interrupt->over || interrupt->connection != connection) {
+        if (stopped || interrupt->ended || interrupt->connection != connection) {
             return;
         }
-        if (!run_.world.servers().silent(server_.id, run_.context.now())) {
+        if (!run_.fleetView.servers().silent(server_.id, run_.context.now())) {
             armSilence(std::min(after, SilenceLook));
         } else if (connection->answerWaits()) {
             // It has answered; this process stood still or its caller is slow.
@@ -113,7 +113,7 @@
     asio::post(run_.context.io, [this, interrupt = run_.interrupt, connection = connection_, after,
                                  taken = connection_->taken()] {
         // The interrupt and the connection outlive this object.
-        if (interrupt->over || interrupt->connection != connection) {
+        if (interrupt->ended || interrupt->connection != connection) {
             return;
         }
         if (connection->taken() != taken || connection->answerWaits()) {
@@ -132,7 +132,7 @@
     const Interruption reason = run_.interrupt->reason;
     if (reason == Interruption::None || reason == Interruption::Silent) {
         const Failure seen = reason == Interruption::Silent ? Failure::Silent : failure;
-        run_.world.servers().noteFailure(server_.id, seen, run_.context.now());
+        run_.fleetView.servers().noteFailure(server_.id, seen, run_.context.now());
         run_.context.counters.add("attempt_failures", {{"reason", text(seen)}});
         logFailure(run_, seen, message, sent);
     }
@@ -141,7 +141,7 @@
 
 asio::awaitable<bool> BackendExchange::connect()
 {
-    run_.world.servers().noteAttempt(server_.id, run_.context.now());
+    run_.fleetView.servers().noteAttempt(server_.id, run_.context.now());
     // A new connection shows that there is a way before anything is sent.
     if (!run_.choice.trial) {
         pooled_ = pool_.take(server_, !run_.repeatable());
@@ -174,7 +174,8 @@
         if (!start) {
             co_return tl::unexpected(start.error());
         }
-        const AnswerHead head = run_.world.adapter().dialect.readHead(start->status, start->fields);
+        const AnswerHead head =
+                run_.fleetView.adapter().dialect.readHead(start->status, start->fields);
         noteWords(head);
         if (head.id == run_.call.id || (head.id.empty() && head.notRun)) {
             co_return start;
@@ -198,7 +199,7 @@
     if (head.wrongInstance) {
         return;
     }
-    if (head.leaving && run_.world.servers().noteLeaving(server_, run_.context.now())) {
+    if (head.leaving && run_.fleetView.servers().noteLeaving(server_, run_.context.now())) {
         run_.context.counters.add("servers_said_leaving");
         logLeaving(run_);
     }
@@ -208,8 +209,8 @@
     }
     if (head.restFor && *head.restFor > kernel::Duration(0)) {
         run_.context.counters.add("rests_asked");
-        run_.world.servers().noteRest(server_, *head.restFor, run_.context.now());
-        logRest(run_, *head.restFor);
+        run_.fleetView.servers().noteRest(server_, *head.restFor, run_.context.now());
+        logBackoffRequested(run_, *head.restFor);
     }
 }
 
@@ -222,9 +223,9 @@
     order.priority = run_.priority;
     order.takeFrom = run_.choice.takeFrom;
     order.resumeAfter = run_.lastEvent;
-    http::Request passed = run_.world.adapter().dialect.writeRequest(run_.request, order);
+    http::Request passed = run_.fleetView.adapter().dialect.writeRequest(run_.request, order);
     passed.fields = http::endToEnd(passed.fields);
-    if (run_.world.servers().restLeft(server_.id, run_.context.now()) > kernel::Duration(0)) {
+    if (run_.fleetView.servers().restLeft(server_.id, run_.context.now()) > kernel::Duration(0)) {
         run_.context.counters.add("sends_into_rest");
     }
     logSend(run_);
@@ -235,20 +236,20 @@
         connection_->close();
         const bool sent = start.error().point != outcome::Point::ConnectedUnsent;
         if (pooled_ && sent && run_.interrupt->reason != Interruption::CallerLeft) {
-            pool_.doubt(server_.id, sentAt);
+            pool_.closeIdleBefore(server_.id, sentAt);
         }
         co_return fail(Failure::Lost, "answer: " + start.error().message, sent);
     }
     const kernel::Instant now = run_.context.now();
-    AnswerHead head = run_.world.adapter().dialect.readHead(start->status, start->fields);
-    run_.world.servers().noteHeard(server_.id, now);
+    AnswerHead head = run_.fleetView.adapter().dialect.readHead(start->status, start->fields);
+    run_.fleetView.servers().noteHeard(server_.id, now);
     if (head.loadUnreadable) {
         run_.context.counters.add("loads_unreadable");
     }
     if (head.load) {
-        run_.world.servers().noteLoad(server_.id, *head.load, now);
+        run_.fleetView.servers().noteLoad(server_.id, *head.load, now);
     }
-    run_.world.coldStarts().noteTold(server_.hash(), head.coldFor, now);
+    run_.fleetView.coldStarts().noteTold(server_.hash(), head.coldFor, now);
     http::AnswerStart first = std::move(*start);
     const bool good = head.status / 100 == 2;
     if (run_.route.stream && good && !head.notRun) {
@@ -281,7 +282,7 @@
         run_.failedAnswer = std::move(answer);
         co_return AttemptEnd::MayHaveRun;
     }
-    run_.world.servers().noteSuccess(server_.id, run_.context.now());
+    run_.fleetView.servers().noteSuccess(server_.id, run_.context.now());
     if (run_.reply.begun()) {
         co_return AttemptEnd::MayHaveRun;
     }
@@ -330,7 +331,7 @@
             connection_->close();
             co_return fail(Failure::Lost, "stream: " + part.error().message, true);
         }
-        run_.world.servers().noteHeard(server_.id, run_.context.now());
+        run_.fleetView.servers().noteHeard(server_.id, run_.context.now());
         run_.notePiece();
         const bool whole = part->empty();
         std::string bytes = whole ? cutter_.takeRest() : newEvents(*part);
@@ -349,7 +350,7 @@
     }
     giveBack(head.keptFor);
     run_.answeredWhole = true;
-    run_.world.servers().noteSuccess(server_.id, run_.context.now());
+    run_.fleetView.servers().noteSuccess(server_.id, run_.context.now());
     run_.context.counters.add("results", {{"kind", "stream"}, {"code", "ok"}});
     logEnd(run_, "ok");
     co_await run_.reply.finish();
--- a/src/gateway/BackendExchange.h
+++ b/src/gateway/BackendExchange.h
@@ -28,10 +28,10 @@
     boost::asio::awaitable<bool> connect();
 
     /** Gives the connection back unused. */
-    void release();
+    void returnUnused();
 
     /** Sends the request and passes the answer on. */
-    boost::asio::awaitable<AttemptEnd> play();
+    boost::asio::awaitable<AttemptEnd> sendAndForward();
 
 private:
     void giveBack(std::optional<kernel::Duration> keptFor);
--- a/src/gateway/ConnectionPool.cpp
+++ b/src/gateway/ConnectionPool.cpp
@@ -25,8 +25,8 @@
     // The one that was used last is the least likely to be closed.
     while (!idle.empty()) {
         PooledConnection last = idle.back();
-        const bool sound = now < last.until && last.connection->quiet();
-        const bool sure = last.told || now - last.since < SurelyOpen;
+        const bool sound = now < last.usableUntil && last.connection->quiet();
+        const bool sure = last.keepAliveKnown || now - last.idleSince < SurelyOpen;
         if (sound && surelyOpen && !sure) {
             return std::nullopt;
         }
@@ -39,9 +39,10 @@
     return std::nullopt;
 }
 
-void ConnectionPool::give(const forward::ListedServer &server, http::KeptConnection::Ptr connection,
-                          std::optional<kernel::Duration> keptFor,
-                          std::optional<kernel::Duration> rested)
+void ConnectionPool::returnUsed(const forward::ListedServer &server,
+                                http::KeptConnection::Ptr connection,
+                                std::optional<kernel::Duration> keptFor,
+                                std::optional<kernel::Duration> rested)
 {
     const kernel::Duration kept = keptFor ? *keptFor - Margin : KeptUntold;
     std::vector<PooledConnection> &idle = idle_[server.id];
@@ -51,23 +52,23 @@
         return;
     }
     // This process may have stood still, or its caller been slow, while the answer lay there.
-    const kernel::Instant since = context_.now() - *rested;
-    idle.push_back({std::move(connection), since, since + kept, keptFor.has_value()});
+    const kernel::Instant idleSince = context_.now() - *rested;
+    idle.push_back({std::move(connection), idleSince, idleSince + kept, keptFor.has_value()});
 }
 
-void ConnectionPool::putBack(const forward::ListedServer &server, PooledConnection unused)
+void ConnectionPool::returnUnused(const forward::ListedServer &server, PooledConnection unused)
 {
     idle_[server.id].push_back(std::move(unused));
 }
 
-void ConnectionPool::doubt(const std::string &id, kernel::Instant before)
+void ConnectionPool::closeIdleBefore(const std::string &id, kernel::Instant before)
 {
     const auto place = idle_.find(id);
     if (place == idle_.end()) {
         return;
     }
     const std::size_t closed = std::erase_if(place->second, [before](const PooledConnection &item) {
-        const bool doubted = item.since < before;
+        const bool doubted = item.idleSince < before;
         if (doubted) {
             item.connection->close();
         }
@@ -93,7 +94,7 @@
     const kernel::Instant now = context_.now();
     for (auto &[id, idle] : idle_) {
         std::erase_if(idle, [&](const PooledConnection &item) {
-            const bool over = now >= item.until || !item.connection->quiet();
+            const bool over = now >= item.usableUntil || !item.connection->quiet();
             if (over) {
                 item.connection->close();
             }
--- a/src/gateway/ConnectionPool.h
+++ b/src/gateway/ConnectionPool.h
@@ -19,9 +19,9 @@
 struct PooledConnection
 {
     http::KeptConnection::Ptr connection;
-    kernel::Instant since; ///< Its last answer arrived, read or not.
-    kernel::Instant until; ///< It isn't used from then on.
-    bool told = false;     ///< The server said how long it keeps it.
+    kernel::Instant idleSince;   ///< Its last answer arrived, read or not.
+    kernel::Instant usableUntil; ///< It isn't used from then on.
+    bool keepAliveKnown = false; ///< The server said how long it keeps it.
 };
 
 /** The pool. */
@@ -40,15 +40,16 @@
     std::optional<PooledConnection> take(const forward::ListedServer &server, bool surelyOpen);
 
     /** Gives back what was taken and not used. It is no fresher than it was. */
-    void putBack(const forward::ListedServer &server, PooledConnection unused);
+    void returnUnused(const forward::ListedServer &server, PooledConnection unused);
 
     /**
      * Keeps \a connection if it may be used again.
      * \param keptFor what the server said of idling.
      * \param rested since its answer arrived; nothing if that isn't known.
      */
-    void give(const forward::ListedServer &server, http::KeptConnection::Ptr connection,
-              std::optional<kernel::Duration> keptFor, std::optional<kernel::Duration> rested);
+    void returnUsed(const forward::ListedServer &server, http::KeptConnection::Ptr connection,
+                    std::optional<kernel::Duration> keptFor,
+                    std::optional<kernel::Duration> rested);
 
     /**
      * Closes the connections to \a id that have rested since before \a before, when something was
@@ -56,7 +57,7 @@
      * lost entry of a middlebox, silences those that rested beside it; each offered in turn would
      * cost a request its wait for the silence.
      */
-    void doubt(const std::string &id, kernel::Instant before);
+    void closeIdleBefore(const std::string &id, kernel::Instant before);
 
     /** Closes all connections to \a id. */
     void drop(const std::string &id);
--- a/src/gateway/FeedRelay.cpp
+++ b/src/gateway/FeedRelay.cpp
@@ -48,9 +48,9 @@
 
 } // namespace
 
-FeedRelay::FeedRelay(services::Context &context, World &world)
+FeedRelay::FeedRelay(services::Context &context, FleetView &fleetView)
     : context_(context)
-    , world_(world)
+    , fleetView_(fleetView)
     , keys_(peer::peerKeysFrom(context.settings.peerKeys))
     , room_(std::make_shared<store::AnswerRoom>(context.settings.gateway.linkMbps))
 {
@@ -82,7 +82,7 @@
                               kernel::Instant question)
 {
     const peer::EncodedAnswer answer =
-            feed.record().encodedAnswer(ask, question, world_.largestRelayed());
+            feed.record().encodedAnswer(ask, question, fleetView_.largestRelayed());
     const char *result = answer.news ? "news" : "nothing-new";
     context_.counters.add("relay_answers",
                           {{"kind", ask.kind}, {"result", answer.lost ? "lost" : result}});
@@ -99,7 +99,7 @@
     }
     asio::steady_timer timer(context_.io);
     timer.expires_after(hold);
-    const ObjectFeed::Waiting waiting(feed, timer);
+    const ObjectFeed::NewsWaiter waiting(feed, timer);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
@@ -112,7 +112,7 @@
         co_return;
     }
     const auto ask = read(request);
-    ObjectFeed *const feed = ask ? world_.feed(ask->kind) : nullptr;
+    ObjectFeed *const feed = ask ? fleetView_.feed(ask->kind) : nullptr;
     if (feed == nullptr) {
         context_.counters.add("relay_refusals");
         http::Answer bad(BadAsk);
--- a/src/gateway/FeedRelay.h
+++ b/src/gateway/FeedRelay.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "http/Server.h"
 #include "peer/Envelope.h"
 #include "store/AnswerRoom.h"
@@ -21,7 +21,7 @@
 class FeedRelay : public kernel::Service
 {
 public:
-    FeedRelay(services::Context &context, World &world);
+    FeedRelay(services::Context &context, FleetView &fleetView);
 
     std::string_view name() const override { return "relay"; }
     void start() override;
@@ -34,7 +34,7 @@
     http::Answer write(const ObjectFeed &feed, const peer::FeedAsk &ask, kernel::Instant question);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     std::vector<peer::PeerKey> keys_;
     std::shared_ptr<store::AnswerRoom> room_; ///< Also of answers that outlive the service.
     std::unique_ptr<http::Server> server_;
--- a/src/gateway/World.cpp
+++ b/src/gateway/FleetView.cpp
@@ -1,4 +1,4 @@
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 
 #include "gateway/FeedPaces.h"
 #include "kernel/Log.h"
@@ -84,7 +84,7 @@
     return std::min<kernel::Duration>(settings.listBeat * BeatsToReturn, bound - gathered);
 }
 
-World::World(services::Context &context, Adapter adapter)
+FleetView::FleetView(services::Context &context, Adapter adapter)
     : context_(context)
     , adapter_(std::move(adapter))
     , freshness_(usableFor(context.settings.gateway), unconfirmedKeys(context.settings.gateway))
@@ -94,7 +94,7 @@
 {
 }
 
-void World::start()
+void FleetView::start()
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     sources_ = std::make_unique<FeedSources>(context_, fewestRelayed(settings));
@@ -105,7 +105,7 @@
             freshness_.confirm(asOf);
         }
         if (serverFeed_) {
-            serverFeed_->hurry();
+            serverFeed_->retryNow();
         }
     };
     configurationFeed_ = std::make_unique<ObjectFeed>(
@@ -113,7 +113,7 @@
             *sources_, std::move(configurationHooks));
     FeedHooks serverHooks;
     serverHooks.changed = [this](auto objects) { changeServers(objects); };
-    serverHooks.listed = [this](const auto &names) { dropUnlistedServers(names); };
+    serverHooks.listComplete = [this](const auto &names) { dropUnlistedServers(names); };
     serverHooks.confirmed = [](kernel::Instant) {};
     // One look of a box whose relays don't help is enough.
     serverHooks.storeAllowed = [this] { return configurationFeed_->heardFromStore(); };
@@ -126,7 +126,7 @@
     sweep_ = std::make_unique<services::Repeat>(context_.io, [this] { return sweep(); });
 }
 
-void World::followHallDrains()
+void FleetView::followHallDrains()
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     if (settings.hallDrainWithin == 0s || adapter_.hallDrainKind.empty()) {
@@ -134,7 +134,7 @@
     }
     FeedHooks hooks;
     hooks.changed = [this](auto objects) { changeDrains(objects); };
-    hooks.listed = [this](const auto &names) { endUnlistedDrains(names); };
+    hooks.listComplete = [this](const auto &names) { endUnlistedDrains(names); };
     hooks.confirmed = [](kernel::Instant) {};
     hooks.storeAllowed = [this] {
         return configurationFeed_->heardFromStore() && context_.now() - started_ >= DrainsFromHall;
@@ -144,7 +144,7 @@
                                          hallDrainPaces(settings), *sources_, std::move(hooks));
 }
 
-void World::stop()
+void FleetView::stop()
 {
     sweep_.reset();
     hallDrainFeed_.reset();
@@ -152,7 +152,7 @@
     configurationFeed_.reset();
 }
 
-ObjectFeed *World::feed(std::string_view kind)
+ObjectFeed *FleetView::feed(std::string_view kind)
 {
     if (configurationFeed_ && kind == adapter_.configurationKind) {
         return configurationFeed_.get();
@@ -163,19 +163,19 @@
     return serverFeed_ && kind == adapter_.serverKind ? serverFeed_.get() : nullptr;
 }
 
-std::size_t World::largestRelayed() const
+std::size_t FleetView::largestRelayed() const
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     return store::largestRelayed(settings.linkMbps, sources_->hallBoxes(),
                                  kernel::seconds(settings.applyWithin) * RelayedWithinPart);
 }
 
-bool World::stoodStill() const
+bool FleetView::stoodStill() const
 {
     return caughtUpAt_ && context_.now() - *caughtUpAt_ >= SweepEvery + Standstill;
 }
 
-asio::awaitable<void> World::catchUp()
+asio::awaitable<void> FleetView::catchUp()
 {
     if (!catchingUp_ && !stoodStill()) {
         co_return;
@@ -184,14 +184,14 @@
     for (int turns = 0; turns < MostTurns && catchingUp_; ++turns) {
         // First, as bytes may have been taken from the socket and wait for their handler.
         co_await asio::post(context_.io, asio::use_awaitable);
-        const bool drainsBehind = hallDrainFeed_ && hallDrainFeed_->behind();
-        catchingUp_ = catchingUp_ && serverFeed_ && (serverFeed_->behind() || drainsBehind);
+        const bool drainsBehind = hallDrainFeed_ && hallDrainFeed_->hasUnprocessed();
+        catchingUp_ = catchingUp_ && serverFeed_ && (serverFeed_->hasUnprocessed() || drainsBehind);
     }
     catchingUp_ = false;
     caughtUpAt_ = context_.now();
 }
 
-asio::awaitable<kernel::Duration> World::sweep()
+asio::awaitable<kernel::Duration> FleetView::sweep()
 {
     co_await catchUp();
     caughtUpAt_ = context_.now();
@@ -202,7 +202,7 @@
     co_return kernel::Duration(SweepEvery);
 }
 
-void World::applySettings()
+void FleetView::applySettings()
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     freshness_.setPolicy(usableFor(settings), unconfirmedKeys(settings));
@@ -215,14 +215,14 @@
     budget_.setBound({settings.retryRatio, settings.retryWindow, settings.retrySlack});
 }
 
-bool World::ready() const
+bool FleetView::ready() const
 {
     return snapshot_ && serversKnown_ && freshness_.usable(context_.now());
 }
 
 // Of several versions in one answer only the newest is read: each may hold thousands of routes, and
 // requests wait while one is read.
-void World::takeConfiguration(std::span<const store::StoredObject> objects)
+void FleetView::takeConfiguration(std::span<const store::StoredObject> objects)
 {
     for (const store::StoredObject &object : objects | std::views::reverse) {
         if (object.name == adapter_.configurationName && !object.gone
@@ -232,7 +232,7 @@
     }
 }
 
-bool World::readConfiguration(const store::StoredObject &object)
+bool FleetView::readConfiguration(const store::StoredObject &object)
 {
     context_.counters.add("configurations_read");
     auto content = adapter_.readConfiguration(object.content);
@@ -262,7 +262,7 @@
 }
 
 // An entry that can't be read names no server, also where an earlier one did.
-void World::takeServer(const store::StoredObject &object)
+void FleetView::takeServer(const store::StoredObject &object)
 {
     const auto entry = adapter_.readServer(object);
     if (entry) {
@@ -277,7 +277,7 @@
     }
 }
 
-void World::takeEntry(const forward::ServerEntry &entry)
+void FleetView::takeEntry(const forward::ServerEntry &entry)
 {
     const forward::ListedServer server = servers_.known(entry.server);
     const kernel::Instant now = context_.now();
@@ -312,7 +312,7 @@
     servers_.put(server, serversKnown_ ? now : kernel::Instant());
 }
 
-void World::addDrain(const store::StoredObject &object, std::set<std::string> &halls)
+void FleetView::addDrain(const store::StoredObject &object, std::set<std::string> &halls)
 {
     const auto hall = adapter_.readHallDrain(object);
     if (hall) {
@@ -324,14 +324,14 @@
                 "The drain of a hall can't be read; it drains none.");
 }
 
-void World::endUnlistedDrains(const std::set<std::string> &listed)
+void FleetView::endUnlistedDrains(const std::set<std::string> &listed)
 {
     std::set<std::string> halls = drainedHalls_;
     std::erase_if(halls, [&](const std::string &hall) { return !listed.contains(hall); });
     setDrainedHalls(std::move(halls));
 }
 
-void World::changeDrains(std::span<const store::StoredObject> objects)
+void FleetView::changeDrains(std::span<const store::StoredObject> objects)
 {
     std::set<std::string> halls = drainedHalls_;
     for (const store::StoredObject &object : objects) {
@@ -344,7 +344,7 @@
 }
 
 // The servers of a hall that takes work again may have turned cold meanwhile.
-void World::setDrainedHalls(std::set<std::string> halls)
+void FleetView::setDrainedHalls(std::set<std::string> halls)
 {
     const kernel::Instant now = context_.now();
     for (const std::string &hall : halls) {
@@ -368,7 +368,7 @@
     servers_.setDrainedHalls(std::move(halls));
 }
 
-void World::dropUnlistedServers(const std::set<std::string> &listed)
+void FleetView::dropUnlistedServers(const std::set<std::string> &listed)
 {
     std::vector<std::string> unlisted;
     servers_.forEach([&](const forward::ListedServer &server) {
@@ -382,7 +382,7 @@
     serversKnown_ = true;
 }
 
-void World::changeServers(std::span<const store::StoredObject> objects)
+void FleetView::changeServers(std::span<const store::StoredObject> objects)
 {
     newServers_ = 0;
     for (const store::StoredObject &object : objects) {
@@ -400,7 +400,7 @@
 
 // An entry may go because the store didn't hear its server while it was away. Then the server is
 // kept for as long as it needs to be listed again.
-void World::missServer(const std::string &id)
+void FleetView::missServer(const std::string &id)
 {
     if (missing_.contains(id)) {
         return;
@@ -410,12 +410,12 @@
     const auto failure = serverFeed_ ? serverFeed_->lastFailure() : std::nullopt;
     const bool storeWasAway = failure && now - *failure < settings.contact;
     // The time counts from when the store's word came: this process may have stood still since.
-    const kernel::Instant told = serverFeed_ ? serverFeed_->told() : now;
+    const kernel::Instant told = serverFeed_ ? serverFeed_->reportedAt() : now;
     missing_[id] = storeWasAway ? told + keptAfterOutage(settings) : now;
     dropMissing();
 }
 
-void World::dropMissing()
+void FleetView::dropMissing()
 {
     const kernel::Instant now = context_.now();
     std::vector<std::string> due;
@@ -431,7 +431,7 @@
 }
 
 // What keys are refused for must stand in the log: their requests name only the symptom.
-void World::noteFreshness()
+void FleetView::noteFreshness()
 {
     const kernel::Instant now = context_.now();
     KeyTrust trust = KeyTrust::Stale;
@@ -453,7 +453,7 @@
                 words.sentence);
 }
 
-void World::dropServer(const std::string &id)
+void FleetView::dropServer(const std::string &id)
 {
     log().event("server-gone", {{"server", id}}, "A backend server is listed no more.");
     const auto gone = servers_.find(id);
--- a/src/gateway/World.h
+++ b/src/gateway/FleetView.h
@@ -34,10 +34,10 @@
 kernel::Duration keptAfterOutage(const kernel::GatewaySettings &settings);
 
 /** The service that follows the store. */
-class World : public kernel::Service
+class FleetView : public kernel::Service
 {
 public:
-    World(services::Context &context, Adapter adapter);
+    FleetView(services::Context &context, Adapter adapter);
 
     std::string_view name() const override { return "world"; }
     void start() override;
--- a/src/gateway/FrontService.cpp
+++ b/src/gateway/FrontService.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-FrontService::FrontService(services::Context &context, World &world, PlaceService &places)
+FrontService::FrontService(services::Context &context, FleetView &fleetView, PlaceService &places)
     : context_(context)
-    , world_(world)
+    , fleetView_(fleetView)
     , places_(places)
     , pool_(context)
 {
@@ -49,8 +49,8 @@
     server_->onConnectionEnd([this](const http::ConnectionEnd &end) {
         services::noteConnectionEnd(context_.counters, end);
     });
-    world_.onConfiguration([this](const forward::Snapshot &) { server_->setLimits(limits()); });
-    world_.onServerGone([this](const forward::ListedServer &server) {
+    fleetView_.onConfiguration([this](const forward::Snapshot &) { server_->setLimits(limits()); });
+    fleetView_.onServerGone([this](const forward::ListedServer &server) {
         pool_.drop(server.id);
         if (!server.leaving) {
             context_.kernel.find<services::CrashService>("crashes").serverGone(server.id);
@@ -87,7 +87,7 @@
 
 http::ServerLimits FrontService::limits() const
 {
-    const forward::SnapshotPtr &snapshot = world_.snapshot();
+    const forward::SnapshotPtr &snapshot = fleetView_.snapshot();
     const forward::CallerLimits told = snapshot ? snapshot->limits() : forward::CallerLimits();
     http::ServerLimits limits;
     // Two bytes over, so that a head of just the greatest size is not refused with its blank line.
@@ -108,7 +108,7 @@
     context_.counters.add("results", {{"kind", "connection"}, {"code", std::string(info.name)}});
     const kernel::Duration comeBack = info.httpStatus == 503 ? 250ms : 0ms;
     const auto told = services::refusalOf(info.code, "the request was not read", comeBack);
-    http::Answer answer(info.httpStatus, world_.adapter().dialect.refusalFields("", comeBack),
+    http::Answer answer(info.httpStatus, fleetView_.adapter().dialect.refusalFields("", comeBack),
                         services::refusalJson("", told));
     answer.fields.add("Content-Type", "application/json");
     return answer;
@@ -116,7 +116,7 @@
 
 asio::awaitable<void> FrontService::handle(http::Request request, http::Reply &reply)
 {
-    RequestRun run(context_, world_, pool_, places_, std::move(request), reply);
+    RequestRun run(context_, fleetView_, pool_, places_, std::move(request), reply);
     co_await run.serve();
 }
 
--- a/src/gateway/FrontService.h
+++ b/src/gateway/FrontService.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "gateway/ConnectionPool.h"
+#include "gateway/FleetView.h"
 #include "gateway/PlaceService.h"
-#include "gateway/World.h"
 #include "http/Server.h"
 #include "services/Repeat.h"
 
@@ -17,7 +17,7 @@
 class FrontService : public kernel::Service
 {
 public:
-    FrontService(services::Context &context, World &world, PlaceService &places);
+    FrontService(services::Context &context, FleetView &fleetView, PlaceService &places);
 
     std::string_view name() const override { return "front"; }
     void start() override;
@@ -38,7 +38,7 @@
     boost::asio::awaitable<void> handle(http::Request request, http::Reply &reply);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     PlaceService &places_;
     ConnectionPool pool_;
     std::unique_ptr<http::Server> server_;
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -54,7 +54,7 @@
         return;
     }
     context.settings.gateway = settings->gateway;
-    context.kernel.find<World>("world").applySettings();
+    context.kernel.find<FleetView>("world").applySettings();
     log().info("The settings were read again.");
 }
 
@@ -77,12 +77,12 @@
     kernel.add(std::make_unique<services::PeerService>(context));
     kernel.add(std::make_unique<services::MembershipService>(context, acquaintanceOf(context)));
     services::CrashService &crashes = kernel.add(std::make_unique<services::CrashService>(context));
-    World &world = kernel.add(std::make_unique<World>(context, std::move(adapter)));
-    kernel.add(std::make_unique<FeedRelay>(context, world));
-    kernel.add(std::make_unique<CrashStore>(context, world.adapter(), crashes));
-    PlaceService &places = kernel.add(std::make_unique<PlaceService>(context, world));
-    kernel.add(std::make_unique<FrontService>(context, world, places));
-    kernel.add(std::make_unique<ReadyService>(context, world));
+    FleetView &fleetView = kernel.add(std::make_unique<FleetView>(context, std::move(adapter)));
+    kernel.add(std::make_unique<FeedRelay>(context, fleetView));
+    kernel.add(std::make_unique<CrashStore>(context, fleetView.adapter(), crashes));
+    PlaceService &places = kernel.add(std::make_unique<PlaceService>(context, fleetView));
+    kernel.add(std::make_unique<FrontService>(context, fleetView, places));
+    kernel.add(std::make_unique<ReadyService>(context, fleetView));
     kernel.add(std::make_unique<GatewayStop>(context, std::move(stopped)));
 }
 
@@ -95,7 +95,7 @@
     asio::signal_set ends(io, SIGTERM, SIGINT);
     ends.async_wait([&context](boost::system::error_code error, int) {
         if (!error) {
-            context.kernel.find<GatewayStop>("stop").leave();
+            context.kernel.find<GatewayStop>("stop").begin();
         }
     });
     asio::signal_set reloads(io, SIGHUP);
--- a/src/gateway/GatewayServices.cpp
+++ b/src/gateway/GatewayServices.cpp
@@ -71,14 +71,14 @@
 asio::awaitable<void> ReadyService::handle(http::Request request, http::Reply &reply)
 {
     http::Answer answer(404, http::Fields().with("Content-Type", "text/plain"), "unknown path\n");
-    if (request.path() == world_.adapter().dialect.readyPath) {
-        const bool ready = !leaving_ && world_.ready();
+    if (request.path() == fleetView_.adapter().dialect.readyPath) {
+        const bool ready = !leaving_ && fleetView_.ready();
         answer.status = ready ? 200 : 503;
         answer.body = ready ? "ready\n" : "not ready\n";
     } else if (request.path() == StatusPath) {
         answer.status = 200;
         answer.fields = http::Fields().with("Content-Type", "application/json");
-        answer.body = statusOf(context_, world_, leaving_).dump();
+        answer.body = statusOf(context_, fleetView_, leaving_).dump();
     } else if (request.path() == LiftPath && request.method == "POST") {
         answer = lift(request);
     } else if (request.path() == MetricsPath) {
@@ -111,7 +111,7 @@
     return refusal(200, "the request may run again");
 }
 
-void GatewayStop::leave()
+void GatewayStop::begin()
 {
     if (leaving_) {
         return;
--- a/src/gateway/GatewayServices.h
+++ b/src/gateway/GatewayServices.h
@@ -14,9 +14,9 @@
 class ReadyService : public kernel::Service
 {
 public:
-    ReadyService(services::Context &context, World &world)
+    ReadyService(services::Context &context, FleetView &fleetView)
         : context_(context)
-        , world_(world)
+        , fleetView_(fleetView)
     {
     }
 
@@ -33,7 +33,7 @@
     http::Answer lift(const http::Request &request);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     bool leaving_ = false;
     std::vector<std::unique_ptr<http::Server>> servers_;
 };
@@ -53,7 +53,7 @@
     void stop() override {}
 
     /** Begins the stop; a second call changes nothing. */
-    void leave();
+    void begin();
 
 private:
     boost::asio::awaitable<void> run();
--- a/src/gateway/GatewayStatus.cpp
+++ b/src/gateway/GatewayStatus.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-json configurationOf(const World &world, kernel::Instant now)
+json configurationOf(const FleetView &fleetView, kernel::Instant now)
 {
-    const auto age = world.freshness().age(now);
-    return {{"version", world.snapshot() ? json(world.snapshot()->version()) : json()},
+    const auto age = fleetView.freshness().age(now);
+    return {{"version", fleetView.snapshot() ? json(fleetView.snapshot()->version()) : json()},
             {"confirmed_ms_ago", age ? json(*age / 1ms) : json()},
-            {"confirmed", world.freshness().confirmed(now)},
-            {"keys_honoured", world.freshness().usable(now)}};
+            {"confirmed", fleetView.freshness().confirmed(now)},
+            {"keys_honoured", fleetView.freshness().usable(now)}};
 }
 
 json boxesOf(services::Context &context)
@@ -35,20 +35,20 @@
     return boxes;
 }
 
-json serversOf(World &world, kernel::Instant now)
+json serversOf(FleetView &fleetView, kernel::Instant now)
 {
     json servers = json::array();
-    for (const std::string &id : world.servers().ids()) {
-        const auto server = world.servers().find(id);
+    for (const std::string &id : fleetView.servers().ids()) {
+        const auto server = fleetView.servers().find(id);
         servers.push_back({{"server", id},
                            {"service", server->service},
                            {"hall", server->hall},
                            {"address", kernel::text(server->address)},
                            {"leaving", server->leaving},
-                           {"rests_ms", world.servers().restLeft(id, now) / 1ms},
-                           {"doubted", world.servers().doubted(id, now)},
-                           {"load", world.servers().load(id, now)},
-                           {"of_this_box", world.servers().ownLoadAt(id)}});
+                           {"rests_ms", fleetView.servers().restLeft(id, now) / 1ms},
+                           {"doubted", fleetView.servers().doubted(id, now)},
+                           {"load", fleetView.servers().load(id, now)},
+                           {"of_this_box", fleetView.servers().ownLoadAt(id)}});
     }
     return servers;
 }
@@ -84,16 +84,16 @@
 
 } // namespace
 
-json statusOf(services::Context &context, World &world, bool leaving)
+json statusOf(services::Context &context, FleetView &fleetView, bool leaving)
 {
     const kernel::Instant now = context.now();
     return {{"box", context.settings.box.text()},
             {"hall", context.settings.hall.text()},
-            {"ready", world.ready() && !leaving},
+            {"ready", fleetView.ready() && !leaving},
             {"leaving", leaving},
-            {"configuration", configurationOf(world, now)},
+            {"configuration", configurationOf(fleetView, now)},
             {"boxes", boxesOf(context)},
-            {"servers", serversOf(world, now)},
+            {"servers", serversOf(fleetView, now)},
             {"requests", requestsOf(context)}};
 }
 
--- a/src/gateway/GatewayStatus.h
+++ b/src/gateway/GatewayStatus.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 
 #include <nlohmann/json.hpp>
 
@@ -17,7 +17,7 @@
 inline constexpr const char *LiftPath = "/v1/requests/lift";
 
 /** The status of this box; holds no secret. */
-nlohmann::json statusOf(services::Context &context, World &world, bool leaving);
+nlohmann::json statusOf(services::Context &context, FleetView &fleetView, bool leaving);
 
 /** The same in a person's words, a line each. */
 std::string statusText(const nlohmann::json &status);
--- a/src/gateway/ObjectFeed.cpp
+++ b/src/gateway/ObjectFeed.cpp
@@ -55,18 +55,18 @@
     , hooks_(std::move(hooks))
     , book_(paces.sources)
     , storeConnection_(context, "store")
-    , relayCaller_(context)
+    , relayClient_(context)
     , began_(context.now())
     , loop_(std::make_unique<services::Repeat>(context.io, [this] { return round(); }))
 {
 }
 
-bool ObjectFeed::behind() const
+bool ObjectFeed::hasUnprocessed() const
 {
-    return taking_ || storeConnection_.unread() || relayCaller_.unread();
+    return taking_ || storeConnection_.unread() || relayClient_.unread();
 }
 
-void ObjectFeed::hurry()
+void ObjectFeed::retryNow()
 {
     if (failing_) {
         loop_->hurry();
@@ -81,7 +81,7 @@
     if (askingRelay_ && book_.relaying(sources_.relays(), sources_.self(), now)
         && nextStep().kind == FeedStep::Kind::Store) {
         abandoned_ = true;
-        relayCaller_.close();
+        relayClient_.close();
     }
 }
 
@@ -238,7 +238,7 @@
                           http::Fields().with("Host", kernel::text(where)));
     auto answer = co_await storeConnection_.ask(std::move(request), wait);
     taking_ = answer.has_value();
-    told_ = context_.now() - storeConnection_.rested();
+    reportedAt_ = context_.now() - storeConnection_.rested();
     co_return answer;
 }
 
@@ -275,7 +275,7 @@
     for (const store::StoredObject &object : objects) {
         names.insert(object.name);
     }
-    hooks_.listed(names);
+    hooks_.listComplete(names);
 }
 
 void ObjectFeed::noteUnreadable(std::size_t objects)
@@ -336,7 +336,7 @@
     listing_.reset();
     at_ = std::max(at_.value_or(0), listing.at);
     co_await letOthersRun();
-    record_.replace(std::move(listing.kept), listing.at, told_);
+    record_.replace(std::move(listing.kept), listing.at, reportedAt_);
     co_await handOver(listing.objects);
     handOverNames(listing.objects);
     confirm(listing.begun);
@@ -395,7 +395,8 @@
     changed_ = !changes->objects.empty();
     if (changed_) {
         co_await letOthersRun();
-        record_.change(keptObjects(changes->objects, answer->body.size(), inLine()), *at_, told_);
+        record_.change(keptObjects(changes->objects, answer->body.size(), inLine()), *at_,
+                       reportedAt_);
         co_await handOver(changes->objects);
     }
     confirm(asked);
@@ -425,7 +426,7 @@
     abandoned_ = false;
     std::optional<peer::FeedAnswer> answer;
     if (const auto where = sources_.addressOf(relay)) {
-        answer = co_await relayCaller_.ask(*where, ask, longest);
+        answer = co_await relayClient_.ask(*where, ask, longest);
     }
     askingRelay_ = false;
     if (abandoned_) {
@@ -463,7 +464,7 @@
     log().event("relay-fault", {{"kind", kind_}, {"relay", sources_.nameOf(relay)}, {"why", what}},
                 "Another box didn't tell what the store holds.");
     book_.noteRelayFailed(relay, fault, context_.now());
-    relayCaller_.close();
+    relayClient_.close();
 }
 
 void ObjectFeed::noteRelayAnswer(std::uint64_t relay)
@@ -486,7 +487,7 @@
         co_return;
     }
     const kernel::Instant asOf = peer::forAsker(asked, *answer.confirmedMs);
-    told_ = toldBy(answer, asked);
+    reportedAt_ = toldBy(answer, asked);
     const bool newer = answer.at > at_.value_or(0);
     if (newer) {
         const bool taken = co_await takeNews(std::move(answer));
@@ -540,11 +541,11 @@
     const auto objects = co_await readObjects(answer.objects);
     at_ = answer.at;
     if (answer.whole) {
-        record_.replace(std::move(answer.objects), answer.at, told_);
+        record_.replace(std::move(answer.objects), answer.at, reportedAt_);
         co_await handOver(objects);
         handOverNames(objects);
     } else {
-        record_.change(std::move(answer.objects), answer.at, told_);
+        record_.change(std::move(answer.objects), answer.at, reportedAt_);
         co_await handOver(objects);
     }
     co_await letOthersRun();
@@ -562,7 +563,7 @@
     }
     const auto objects = co_await readObjects(merged->changes);
     at_ = answer.at;
-    record_.replace(std::move(merged->all), answer.at, told_);
+    record_.replace(std::move(merged->all), answer.at, reportedAt_);
     co_await handOver(objects);
     co_await letOthersRun();
     co_return true;
--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -15,7 +15,7 @@
 #include "gateway/Adapter.h"
 #include "gateway/FeedConnection.h"
 #include "gateway/FeedSources.h"
-#include "gateway/RelayCaller.h"
+#include "gateway/RelayClient.h"
 #include "peer/FeedRecord.h"
 #include "services/Context.h"
 #include "services/Repeat.h"
@@ -54,7 +54,7 @@
     std::function<void(std::span<const store::StoredObject>)> changed;
 
     /** All objects there are have been told; what isn't named is gone. */
-    std::function<void(const std::set<std::string> &names)> listed = [](const auto &) {};
+    std::function<void(const std::set<std::string> &names)> listComplete = [](const auto &) {};
 
     /** What is known was the newest at \a asOf. */
     std::function<void(kernel::Instant asOf)> confirmed;
@@ -75,10 +75,10 @@
 
     /** Whether something that has arrived isn't taken in yet. To be asked once the loop has had a
      * turn, in which it handles what it has read already. */
-    bool behind() const;
+    bool hasUnprocessed() const;
 
     /** When the store told what the hooks are called for, or earlier; it may have lain unread. */
-    kernel::Instant told() const { return told_; }
+    kernel::Instant reportedAt() const { return reportedAt_; }
 
     /** Whether the store itself answered this box last. */
     bool heardFromStore() const { return heardFromStore_; }
@@ -87,7 +87,7 @@
     void setPaces(const FeedPaces &paces) { paces_ = paces; }
 
     /** Asks again at once if the feed waits after a failure. */
-    void hurry();
+    void retryNow();
 
     /** What may be told to other boxes. */
     const peer::FeedRecord &record() const { return record_; }
@@ -96,18 +96,18 @@
     void noteAsked();
 
     /** Cancels a timer once there is news, for as long as this lives; it may outlive the feed. */
-    class Waiting
+    class NewsWaiter
     {
     public:
-        Waiting(ObjectFeed &feed, boost::asio::steady_timer &timer)
+        NewsWaiter(ObjectFeed &feed, boost::asio::steady_timer &timer)
             : timers_(feed.waiting_)
             , timer_(timer)
         {
             timers_->insert(&timer_);
         }
-        ~Waiting() { timers_->erase(&timer_); }
-        Waiting(const Waiting &) = delete;
-        Waiting &operator=(const Waiting &) = delete;
+        ~NewsWaiter() { timers_->erase(&timer_); }
+        NewsWaiter(const NewsWaiter &) = delete;
+        NewsWaiter &operator=(const NewsWaiter &) = delete;
 
     private:
         std::shared_ptr<std::set<boost::asio::steady_timer *>> timers_;
@@ -166,12 +166,12 @@
     store::SourceBook book_;
     peer::FeedRecord record_;
     FeedConnection storeConnection_;
-    RelayCaller relayCaller_;
+    RelayClient relayClient_;
     std::shared_ptr<std::set<boost::asio::steady_timer *>> waiting_ =
             std::make_shared<std::set<boost::asio::steady_timer *>>(); ///< Of held asks.
     std::optional<Listing> listing_;
     std::optional<std::uint64_t> at_; ///< Where the next watch goes on; nothing: list first.
-    kernel::Instant told_;
+    kernel::Instant reportedAt_;
     kernel::Instant began_;       ///< When the feed was made.
     kernel::Instant listedFirst_; ///< When the first list was begun.
     /** When the store said that it has forgotten what changed since at_; a list is needed. */
--- a/src/gateway/PlaceService.cpp
+++ b/src/gateway/PlaceService.cpp
@@ -65,9 +65,9 @@
 
 } // namespace
 
-PlaceService::PlaceService(services::Context &context, World &world)
+PlaceService::PlaceService(services::Context &context, FleetView &fleetView)
     : context_(context)
-    , world_(world)
+    , fleetView_(fleetView)
     , ledger_(policyOf(context.settings))
     , startFleet_(startFleetPolicy(context.settings))
 {
@@ -87,7 +87,7 @@
                 noteOwners();
                 const auto &members =
                         context_.kernel.find<services::MembershipService>("membership");
-                world_.budget().setBoxes(fleet_.note(members.owners().size(), context_.now()));
+                fleetView_.budget().setBoxes(fleet_.note(members.owners().size(), context_.now()));
                 co_return kernel::Duration(SweepEvery);
             });
 }
@@ -101,7 +101,7 @@
 {
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
     return {std::max<std::size_t>(members.owners().size(), 1),
-            std::max<std::size_t>(world_.servers().serversBeside(engine), 1)};
+            std::max<std::size_t>(fleetView_.servers().serversBeside(engine), 1)};
 }
 
 peer::PermitAnswer PlaceService::nameHolders(const peer::AskPermit &ask) const
@@ -153,7 +153,7 @@
 double PlaceService::coldRate(const peer::AskPermit &ask)
 {
     const kernel::Instant now = context_.now();
-    forward::ColdStarts &known = world_.coldStarts();
+    forward::ColdStarts &known = fleetView_.coldStarts();
     known.noteTold(ask.resource, std::chrono::milliseconds(ask.coldMs), now);
     const forward::ColdState state = known.state(ask.organisation, ask.resource, now);
     return state.cold() ? state.perSecond : fromThousandths(ask.coldPerSecond);
@@ -174,7 +174,7 @@
 bool PlaceService::startsAlone(const forward::ListedServer &server)
 {
     const kernel::Instant now = context_.now();
-    const forward::ColdState state = world_.coldStarts().state(server, now);
+    const forward::ColdState state = fleetView_.coldStarts().state(server, now);
     if (!state.cold()) {
         return true;
     }
@@ -231,7 +231,7 @@
 
 peer::AskPermit PlaceService::askOf(const forward::ListedServer &server, peer::AskKind kind) const
 {
-    const forward::ColdState cold = world_.coldStarts().state(server, context_.now());
+    const forward::ColdState cold = fleetView_.coldStarts().state(server, context_.now());
     peer::AskPermit ask;
     ask.kind = kind;
     ask.request = context_.random();
@@ -258,7 +258,7 @@
     co_return co_await askOwner(asked, ask);
 }
 
-asio::awaitable<bool> PlaceService::takeStart(forward::ListedServer server)
+asio::awaitable<bool> PlaceService::acquireColdSend(forward::ListedServer server)
 {
     peer::AskPermit ask = askOf(server, peer::AskKind::Start);
     const auto answer = co_await askAny(ask);
@@ -269,13 +269,13 @@
     co_return granted;
 }
 
-asio::awaitable<PlaceOutcome> PlaceService::take(forward::ListedServer server,
-                                                 std::uint64_t partsKey)
+asio::awaitable<PlaceOutcome> PlaceService::acquire(forward::ListedServer server,
+                                                    std::uint64_t partsKey)
 {
     auto &members = context_.kernel.find<services::MembershipService>("membership");
     peer::AskPermit ask = askOf(server, peer::AskKind::Engine);
     ask.chat = partsKey;
-    ask.load = world_.servers().ownLoad(server.service);
+    ask.load = fleetView_.servers().ownLoad(server.service);
     ask.asks = countAsk(server.service);
     const auto owner = membership::ownerOf(ask.resource, members.owners());
     PlaceOutcome outcome;
@@ -300,9 +300,9 @@
 {
     const kernel::Instant now = context_.now();
     const bool granted = answer.result == peer::PermitResult::Granted;
-    const std::uint32_t mine = world_.servers().ownLoadAt(server.id) + (granted ? 1 : 0);
+    const std::uint32_t mine = fleetView_.servers().ownLoadAt(server.id) + (granted ? 1 : 0);
     const std::uint32_t load = answer.load;
-    world_.servers().setOthers(server.id, load > mine ? load - mine : 0, now);
+    fleetView_.servers().setOthers(server.id, load > mine ? load - mine : 0, now);
     outcome.cold = answer.result == peer::PermitResult::Cold;
     const char *refused = outcome.cold ? "cold" : "full";
     context_.counters.add("places", {{"result", granted ? "granted" : refused}});
@@ -315,17 +315,17 @@
     }
 }
 
-void PlaceService::tellHolder(const forward::ListedServer &first,
-                              const forward::ListedServer &server, std::uint64_t partsKey)
+void PlaceService::reportHolder(const forward::ListedServer &first,
+                                const forward::ListedServer &server, std::uint64_t partsKey)
 {
     tellKeyOwner(first.hash(), partsKey, server);
 }
 
-asio::awaitable<PartsWord> PlaceService::askForParts(const forward::Prompt &prompt)
+asio::awaitable<PromptPartHolders> PlaceService::findPartHolders(const forward::Prompt &prompt)
 {
     const std::vector<std::uint64_t> keys = forward::sharedPrefixes(prompt);
     auto &members = context_.kernel.find<services::MembershipService>("membership");
-    PartsWord word;
+    PromptPartHolders word;
     if (keys.empty()) {
         co_return word;
     }
@@ -346,7 +346,7 @@
     co_return word;
 }
 
-void PlaceService::tellParts(const forward::Prompt &prompt, const forward::ListedServer &server)
+void PlaceService::reportParts(const forward::Prompt &prompt, const forward::ListedServer &server)
 {
     const std::vector<std::uint64_t> keys = forward::sharedPrefixes(prompt);
     if (keys.empty()) {
--- a/src/gateway/PlaceService.h
+++ b/src/gateway/PlaceService.h
@@ -11,7 +11,7 @@
 #include "forward/PlaceLedger.h"
 #include "forward/RecentCount.h"
 #include "forward/StartLedger.h"
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "peer/Messages.h"
 #include "services/MembershipService.h"
 
@@ -41,7 +41,7 @@
 };
 
 /** Where the shared parts of a prompt lie, as the one box says that remembers it for all. */
-struct PartsWord
+struct PromptPartHolders
 {
     std::vector<membership::ShortHash> holders;   ///< Engines that lately got all of them.
     std::vector<membership::ShortHash> beginners; ///< Engines that lately got the first one.
@@ -51,7 +51,7 @@
 class PlaceService : public kernel::Service
 {
 public:
-    PlaceService(services::Context &context, World &world);
+    PlaceService(services::Context &context, FleetView &fleetView);
 
     std::string_view name() const override { return "places"; }
     void start() override;
@@ -62,25 +62,26 @@
      * server is cold this is also leave to send it one more request; without an owner's word the
      * box's own part of that is taken.
      */
-    boost::asio::awaitable<PlaceOutcome> take(forward::ListedServer server, std::uint64_t partsKey);
+    boost::asio::awaitable<PlaceOutcome> acquire(forward::ListedServer server,
+                                                 std::uint64_t partsKey);
 
     /** Asks for leave to send one more request to a plain server that may be cold. */
-    boost::asio::awaitable<bool> takeStart(forward::ListedServer server);
+    boost::asio::awaitable<bool> acquireColdSend(forward::ListedServer server);
 
     /** Tells the owner of \a first, whom all boxes ask first for these parts, that they lie at
      * \a server from now on. */
-    void tellHolder(const forward::ListedServer &first, const forward::ListedServer &server,
-                    std::uint64_t partsKey);
+    void reportHolder(const forward::ListedServer &first, const forward::ListedServer &server,
+                      std::uint64_t partsKey);
 
     /**
      * Asks the box that remembers it for all where the shared parts of \a prompt lie. The owner of
      * an engine knows it only of prompts that ask for that engine first: when engines come or go,
      * others come first. That box is the owner of the first part, by rendezvous hashing.
      */
-    boost::asio::awaitable<PartsWord> askForParts(const forward::Prompt &prompt);
+    boost::asio::awaitable<PromptPartHolders> findPartHolders(const forward::Prompt &prompt);
 
     /** Tells that box that the parts lie at \a server from now on. */
-    void tellParts(const forward::Prompt &prompt, const forward::ListedServer &server);
+    void reportParts(const forward::Prompt &prompt, const forward::ListedServer &server);
 
     void giveBack(const Place &place);
 
@@ -114,7 +115,7 @@
     std::uint32_t countAsk(const std::string &service);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     forward::PlaceLedger ledger_;
     forward::HolderIndex holders_;
     std::map<std::string, forward::RecentCount> asks_;          ///< Of this box, by service.
--- a/src/gateway/RelayCaller.cpp
+++ b/src/gateway/RelayClient.cpp
@@ -1,4 +1,4 @@
-#include "gateway/RelayCaller.h"
+#include "gateway/RelayClient.h"
 
 #include "gateway/FeedRelay.h"
 #include "store/FeedPace.h"
@@ -16,7 +16,7 @@
 } // namespace
 
 asio::awaitable<std::optional<peer::FeedAnswer>>
-RelayCaller::ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration longest)
+RelayClient::ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration longest)
 {
     const auto opened = co_await connection_.open(where, store::RelayAnswer);
     if (!opened) {
--- a/src/gateway/RelayCaller.h
+++ b/src/gateway/RelayClient.h
@@ -13,10 +13,10 @@
 namespace limereel::gateway {
 
 /** The caller. */
-class RelayCaller
+class RelayClient
 {
 public:
-    explicit RelayCaller(services::Context &context)
+    explicit RelayClient(services::Context &context)
         : context_(context)
         , keys_(peer::peerKeysFrom(context.settings.peerKeys))
         , connection_(context, "relay")
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-RequestRun::RequestRun(services::Context &context, World &world, ConnectionPool &pool,
+RequestRun::RequestRun(services::Context &context, FleetView &fleetView, ConnectionPool &pool,
                        PlaceService &places, http::Request request, http::Reply &reply)
-    : run_(context, world, std::move(request), reply)
+    : run_(context, fleetView, std::move(request), reply)
     , pool_(pool)
     , places_(places)
     , deadlineTimer_(context.io, context.counters, "deadline")
@@ -39,12 +39,12 @@
 
 RequestRun::~RequestRun()
 {
-    run_.interrupt->over = true;
+    run_.interrupt->ended = true;
 }
 
 asio::awaitable<void> RequestRun::serve()
 {
-    auto call = run_.world.adapter().dialect.readCall(run_.request);
+    auto call = run_.fleetView.adapter().dialect.readCall(run_.request);
     if (!call) {
         Refusal refusal{ResultCode::BadRequest, call.error()};
         co_await refuse(std::move(refusal));
@@ -62,18 +62,18 @@
                          .body = run_.request.body});
     armTimers();
     run_.reply.watchClient([interrupt = run_.interrupt] {
-        if (!interrupt->over) {
+        if (!interrupt->ended) {
             interrupt->end(Interruption::CallerLeft);
         }
     });
-    run_.world.budget().countRequest(run_.service, run_.began);
+    run_.fleetView.budget().countRequest(run_.service, run_.began);
     co_await runAttempts();
     givePlaceBack();
 }
 
 std::optional<RequestRun::Refusal> RequestRun::admit()
 {
-    const forward::SnapshotPtr snapshot = run_.world.snapshot();
+    const forward::SnapshotPtr snapshot = run_.fleetView.snapshot();
     if (!snapshot) {
         return Refusal{ResultCode::NoConfiguration, "the box has no configuration yet", true};
     }
@@ -98,11 +98,11 @@
 // Also right before each send: the process may have stood still since the request came.
 std::optional<RequestRun::Refusal> RequestRun::checkKey()
 {
-    const forward::SnapshotPtr snapshot = run_.world.snapshot();
+    const forward::SnapshotPtr snapshot = run_.fleetView.snapshot();
     if (run_.route.anonymous || !snapshot->hasOrganisations()) {
         return std::nullopt;
     }
-    if (!run_.world.freshness().usable(run_.context.now())) {
+    if (!run_.fleetView.freshness().usable(run_.context.now())) {
         run_.reply.closeAfter();
         return Refusal{ResultCode::NoConfiguration,
                        "the box can't make sure that the key is still valid", true};
@@ -182,7 +182,7 @@
     if (leave.granted()) {
         co_return std::nullopt;
     }
-    logNoLeave(run_, leave);
+    logSendDenied(run_, leave);
     co_return Refusal{services::codeOf(leave), services::whyNoLeave(leave), true, leave.comeBack};
 }
 
@@ -214,7 +214,8 @@
     wish.takeParts = run_.movesParts;
     wish.alone = run_.guard.isAlone();
     while (true) {
-        auto choice = run_.world.servers().choose(wish, run_.context.now(), run_.context.random);
+        auto choice =
+                run_.fleetView.servers().choose(wish, run_.context.now(), run_.context.random);
         if (!choice) {
             noteNoServer(wish);
             run_.lastMessage = wish.barred.empty() ? run_.lastMessage : AllCold;
@@ -235,8 +236,8 @@
 void RequestRun::noteNoServer(const forward::Wish &wish)
 {
     const kernel::Instant now = run_.context.now();
-    allRest_ = run_.world.servers().allRest(wish, now);
-    if (!allRest_ && run_.world.servers().heldToPlaces(wish.service, now)) {
+    allRest_ = run_.fleetView.servers().allRest(wish, now);
+    if (!allRest_ && run_.fleetView.servers().heldToPlaces(wish.service, now)) {
         run_.context.counters.add("held_to_places");
         run_.lastMessage = AllAtTheirPlaces;
     }
@@ -247,11 +248,11 @@
 asio::awaitable<bool> RequestRun::learnHolders(forward::Wish &wish, const forward::Choice &choice)
 {
     const bool wanted = wish.prompt != nullptr && wish.takeParts && !wish.holdersAsked;
-    if (!wanted || run_.world.servers().sourceKnown(wish, choice, run_.context.now())) {
+    if (!wanted || run_.fleetView.servers().sourceKnown(wish, choice, run_.context.now())) {
         co_return false;
     }
     wish.holdersAsked = true;
-    PartsWord word = co_await places_.askForParts(run_.call.prompt);
+    PromptPartHolders word = co_await places_.findPartHolders(run_.call.prompt);
     std::ranges::move(word.holders, std::back_inserter(wish.holders));
     wish.beginners = std::move(word.beginners);
     co_return !wish.holders.empty();
@@ -261,7 +262,7 @@
 // did, one that is refused as the server is cold would keep it cold.
 void RequestRun::noteTrial(const forward::Choice &choice)
 {
-    forward::ColdStarts &starts = run_.world.coldStarts();
+    forward::ColdStarts &starts = run_.fleetView.coldStarts();
     const kernel::Instant now = run_.context.now();
     if (choice.trial && !starts.startedWithin(choice.server.hash(), StartOnce, now)) {
         starts.noteStarted(choice.server.hash(), now);
@@ -275,8 +276,8 @@
     if (wish.prompt == nullptr) {
         // Asked also for one that this box takes for warm: its owner may know better.
         bool granted = true;
-        if (run_.world.coldStarts().bounded(run_.service)) {
-            granted = co_await places_.takeStart(std::move(asked));
+        if (run_.fleetView.coldStarts().bounded(run_.service)) {
+            granted = co_await places_.acquireColdSend(std::move(asked));
         }
         if (!granted) {
             barCold(wish, choice.server.id);
@@ -284,7 +285,7 @@
         co_return granted;
     }
     const std::uint64_t partsKey = forward::sharedPartsKey(run_.call.prompt);
-    PlaceOutcome outcome = co_await places_.take(std::move(asked), partsKey);
+    PlaceOutcome outcome = co_await places_.acquire(std::move(asked), partsKey);
     run_.place = outcome.place;
     std::ranges::move(outcome.holders, std::back_inserter(wish.holders));
     if (outcome.cold) {
@@ -309,8 +310,8 @@
         return;
     }
     const kernel::Instant now = run_.context.now();
-    run_.world.servers().forEach([&](const forward::ListedServer &server) {
-        if (run_.world.coldStarts().state(server, now).cold()) {
+    run_.fleetView.servers().forEach([&](const forward::ListedServer &server) {
+        if (run_.fleetView.coldStarts().state(server, now).cold()) {
             wish.barred.push_back(server.id);
         }
     });
@@ -320,7 +321,7 @@
 // from, and those who ask for them next hear of it.
 asio::awaitable<void> RequestRun::settleParts(forward::Wish &wish, forward::Choice &choice)
 {
-    forward::ServerBook &servers = run_.world.servers();
+    forward::ServerBook &servers = run_.fleetView.servers();
     servers.settleSource(wish, choice, run_.context.now());
     const bool learned = co_await learnHolders(wish, choice);
     if (learned) {
@@ -328,10 +329,10 @@
     }
     const auto first = servers.firstFor(wish);
     if (first && first->id != choice.server.id) {
-        places_.tellHolder(*first, choice.server, forward::sharedPartsKey(run_.call.prompt));
+        places_.reportHolder(*first, choice.server, forward::sharedPartsKey(run_.call.prompt));
     }
     if (choice.held < forward::sharedPrefixes(run_.call.prompt).size()) {
-        places_.tellParts(run_.call.prompt, choice.server);
+        places_.reportParts(run_.call.prompt, choice.server);
     }
 }
 
@@ -353,7 +354,7 @@
     if (ranOut || (run_.counts.sends > 0 && !run_.repeatable())) {
         return false;
     }
-    const bool granted = run_.world.budget().take(run_.service, run_.context.now());
+    const bool granted = run_.fleetView.budget().take(run_.service, run_.context.now());
     run_.context.counters.add("repeats",
                               {{"granted", granted ? "yes" : "no"},
                                {"reason", end == AttemptEnd::Rejected ? "rejected" : "failed"}});
@@ -365,15 +366,15 @@
     BackendExchange exchange(run_, pool_);
     // Before, as a kept connection that was found sound is to be used at once; and once more, as
     // the process may stand still while a new one is made.
-    co_await run_.world.catchUp();
+    co_await run_.fleetView.catchUp();
     const bool connected = co_await exchange.connect();
-    co_await run_.world.catchUp();
+    co_await run_.fleetView.catchUp();
     if (!connected || run_.stopped()) {
         co_return AttemptEnd::Unsent;
     }
     // Time has passed: the key, the server and the deadline are looked at once more.
     if (auto refusal = checkKey()) {
-        exchange.release();
+        exchange.returnUnused();
         if (run_.counts.sends > 0) {
             run_.lastMessage = refusal->message;
             run_.interrupt->reason = Interruption::Deadline;
@@ -383,13 +384,13 @@
         co_return AttemptEnd::Answered;
     }
     // Since it was chosen the server may have left or asked for rest, or its hall been drained.
-    const bool takesIt = run_.world.servers().mayBeSent(run_.choice.server, run_.context.now());
+    const bool takesIt = run_.fleetView.servers().mayBeSent(run_.choice.server, run_.context.now());
     const bool maySend = takesIt && run_.guard.mayBeSent();
     if (!maySend || run_.left() < LeastLeft) {
-        exchange.release();
+        exchange.returnUnused();
         co_return AttemptEnd::Unsent;
     }
-    const AttemptEnd end = co_await exchange.play();
+    const AttemptEnd end = co_await exchange.sendAndForward();
     co_return end;
 }
 
@@ -444,7 +445,7 @@
     }
     services::Refusal told = services::refusalOf(refusal.code, refusal.message, comeBack);
     http::Answer answer(info.httpStatus,
-                        run_.world.adapter().dialect.refusalFields(run_.call.id, comeBack),
+                        run_.fleetView.adapter().dialect.refusalFields(run_.call.id, comeBack),
                         services::refusalJson(run_.call.id, told));
     answer.fields.add("Content-Type", "application/json");
     co_await run_.reply.send(std::move(answer));
--- a/src/gateway/RequestRun.h
+++ b/src/gateway/RequestRun.h
@@ -22,8 +22,8 @@
 class RequestRun
 {
 public:
-    RequestRun(services::Context &context, World &world, ConnectionPool &pool, PlaceService &places,
-               http::Request request, http::Reply &reply);
+    RequestRun(services::Context &context, FleetView &fleetView, ConnectionPool &pool,
+               PlaceService &places, http::Request request, http::Reply &reply);
     ~RequestRun();
     RequestRun(const RequestRun &) = delete;
     RequestRun &operator=(const RequestRun &) = delete;
--- a/src/gateway/RunLog.cpp
+++ b/src/gateway/RunLog.cpp
@@ -25,16 +25,17 @@
 void logSend(const RunState &run)
 {
     const kernel::Instant now = run.context.now();
-    const auto age = run.world.freshness().age(now);
-    nlohmann::json fields = {{"request", run.call.id},
-                             {"route", run.route.name},
-                             {"server", run.choice.server.id},
-                             {"server_load", run.world.servers().load(run.choice.server.id, now)},
-                             {"attempt", run.counts.all() + 1},
-                             {"left_ms", run.left() / 1ms},
-                             {"config", run.world.snapshot()->version()},
-                             {"config_age_ms", age ? *age / 1ms : -1}};
-    const forward::ServerBook &servers = run.world.servers();
+    const auto age = run.fleetView.freshness().age(now);
+    nlohmann::json fields = {
+            {"request", run.call.id},
+            {"route", run.route.name},
+            {"server", run.choice.server.id},
+            {"server_load", run.fleetView.servers().load(run.choice.server.id, now)},
+            {"attempt", run.counts.all() + 1},
+            {"left_ms", run.left() / 1ms},
+            {"config", run.fleetView.snapshot()->version()},
+            {"config_age_ms", age ? *age / 1ms : -1}};
+    const forward::ServerBook &servers = run.fleetView.servers();
     if (const auto rest = servers.restLeft(run.choice.server.id, now); rest > 0s) {
         fields["rest_left_ms"] = rest / 1ms;
     }
@@ -74,7 +75,7 @@
                 "An attempt failed.");
 }
 
-void logRest(const RunState &run, kernel::Duration asked)
+void logBackoffRequested(const RunState &run, kernel::Duration asked)
 {
     const std::string &server = run.choice.server.id;
     const kernel::Instant now = run.context.now();
@@ -82,19 +83,19 @@
                 {{"request", run.call.id},
                  {"server", server},
                  {"asked_ms", asked / 1ms},
-                 {"rest_left_ms", run.world.servers().restLeft(server, now) / 1ms},
-                 {"own_load", run.world.servers().ownLoadAt(server)}},
+                 {"rest_left_ms", run.fleetView.servers().restLeft(server, now) / 1ms},
+                 {"own_load", run.fleetView.servers().ownLoadAt(server)}},
                 "A backend server asks this box for rest.");
 }
 
 void logLeaving(const RunState &run)
 {
-    const auto listed = run.world.servers().find(run.choice.server.id);
+    const auto listed = run.fleetView.servers().find(run.choice.server.id);
     log().event("server-said-leaving",
                 {{"request", run.call.id},
                  {"server", run.choice.server.id},
                  {"listed", listed.has_value()},
-                 {"own_load", run.world.servers().ownLoadAt(run.choice.server.id)}},
+                 {"own_load", run.fleetView.servers().ownLoadAt(run.choice.server.id)}},
                 "A backend server says itself that it leaves; it gets nothing new.");
 }
 
@@ -104,7 +105,7 @@
                 "A backend server asks for rest in a way that can't be read.");
 }
 
-void logNoLeave(RunState &run, const services::SendLeave &leave)
+void logSendDenied(RunState &run, const services::SendLeave &leave)
 {
     log().event("no-leave",
                 {{"request", run.call.id},
@@ -128,7 +129,7 @@
             {"rejected", run.counts.rejected},
             {"unsent", run.counts.unsent},
             {"took_ms", took / 1ms},
-            {"budget_left", run.world.budget().left(run.service, run.context.now())}};
+            {"budget_left", run.fleetView.budget().left(run.service, run.context.now())}};
     if (!why.empty()) {
         fields["why"] = why;
     }
--- a/src/gateway/RunLog.h
+++ b/src/gateway/RunLog.h
@@ -19,7 +19,7 @@
 void logFailure(RunState &run, forward::Failure failure, const std::string &message, bool sent);
 
 /** The server of the attempt asks this box for rest. */
-void logRest(const RunState &run, kernel::Duration asked);
+void logBackoffRequested(const RunState &run, kernel::Duration asked);
 
 /** The server of the attempt says that it leaves. */
 void logLeaving(const RunState &run);
@@ -28,7 +28,7 @@
 void logRestUnreadable(const RunState &run);
 
 /** The request isn't sent, as backend servers have ended under it. */
-void logNoLeave(RunState &run, const services::SendLeave &leave);
+void logSendDenied(RunState &run, const services::SendLeave &leave);
 
 /** The request is over. */
 void logEnd(const RunState &run, std::string_view result, const std::string &why = {});
--- a/src/gateway/RunState.cpp
+++ b/src/gateway/RunState.cpp
@@ -20,10 +20,10 @@
     sends += end == AttemptEnd::MayHaveRun ? 1 : 0;
 }
 
-RunState::RunState(services::Context &ofContext, World &ofWorld, http::Request ofCaller,
+RunState::RunState(services::Context &ofContext, FleetView &ofWorld, http::Request ofCaller,
                    http::Reply &toCaller)
     : context(ofContext)
-    , world(ofWorld)
+    , fleetView(ofWorld)
     , request(std::move(ofCaller))
     , reply(toCaller)
     , began(ofContext.now())
--- a/src/gateway/RunState.h
+++ b/src/gateway/RunState.h
@@ -4,8 +4,8 @@
  */
 #pragma once
 
+#include "gateway/FleetView.h"
 #include "gateway/PlaceService.h"
-#include "gateway/World.h"
 #include "http/KeptConnection.h"
 #include "http/Server.h"
 #include "services/CrashGuard.h"
@@ -25,7 +25,7 @@
 {
     Interruption reason = Interruption::None;
     http::KeptConnection::Ptr connection; ///< To the backend server, while one is in use.
-    bool over = false;                    ///< The run has ended.
+    bool ended = false;                   ///< The run has ended.
 
     /** Ends what runs: the reading of the backend server's answer fails. */
     void end(Interruption why);
@@ -54,10 +54,11 @@
 /** One request on its way. */
 struct RunState
 {
-    RunState(services::Context &context, World &world, http::Request request, http::Reply &reply);
+    RunState(services::Context &context, FleetView &fleetView, http::Request request,
+             http::Reply &reply);
 
     services::Context &context;
-    World &world;
+    FleetView &fleetView;
     http::Request request;
     http::Reply &reply;
 
--- a/test/correctness/ConnectionPoolTest.cpp
+++ b/test/correctness/ConnectionPoolTest.cpp
@@ -71,11 +71,11 @@
 BOOST_AUTO_TEST_CASE(connection_givenBackUnused_isNoFresherThanBefore)
 {
     useOnce();
-    pool.give(listed, connection, std::nullopt, 0ms);
+    pool.returnUsed(listed, connection, std::nullopt, 0ms);
     now += 900ms;
     auto taken = pool.take(listed, true);
     BOOST_REQUIRE(taken);
-    pool.putBack(listed, std::move(*taken));
+    pool.returnUnused(listed, std::move(*taken));
     now += 200ms;
     BOOST_TEST(!pool.take(listed, true).has_value());
     BOOST_TEST(pool.take(listed, false).has_value());
@@ -84,11 +84,11 @@
 BOOST_AUTO_TEST_CASE(connection_givenBackUnused_isKeptAsLongAsItsServerSaid)
 {
     useOnce();
-    pool.give(listed, connection, 10s, 0ms);
+    pool.returnUsed(listed, connection, 10s, 0ms);
     now += 9s;
     auto taken = pool.take(listed, true);
     BOOST_REQUIRE(taken);
-    pool.putBack(listed, std::move(*taken));
+    pool.returnUnused(listed, std::move(*taken));
     now += 400ms;
     BOOST_TEST(pool.take(listed, true).has_value());
 }
@@ -96,11 +96,11 @@
 BOOST_AUTO_TEST_CASE(connection_givenBackUnused_endsWhenItWouldHave)
 {
     useOnce();
-    pool.give(listed, connection, 10s, 0ms);
+    pool.returnUsed(listed, connection, 10s, 0ms);
     now += 9s;
     auto taken = pool.take(listed, true);
     BOOST_REQUIRE(taken);
-    pool.putBack(listed, std::move(*taken));
+    pool.returnUnused(listed, std::move(*taken));
     now += 600ms;
     BOOST_TEST(!pool.take(listed, false).has_value());
 }
@@ -112,15 +112,15 @@
 BOOST_AUTO_TEST_CASE(connection_anotherOneFellSilent_isOfferedOnlyIfItHasAnsweredSince)
 {
     useOnce();
-    pool.give(listed, connection, 60s, 0s);
+    pool.returnUsed(listed, connection, 60s, 0s);
     now += 1s;
     const kernel::Instant sent = now;
     now += 1s;
     done = false;
     useOnce();
     const http::KeptConnection::Ptr younger = connection;
-    pool.give(listed, younger, 60s, 0s);
-    pool.doubt(listed.id, sent);
+    pool.returnUsed(listed, younger, 60s, 0s);
+    pool.closeIdleBefore(listed.id, sent);
     const auto taken = pool.take(listed, false);
     BOOST_TEST_REQUIRE(taken.has_value());
     BOOST_TEST((taken->connection == younger));
@@ -131,11 +131,11 @@
 BOOST_AUTO_TEST_CASE(connection_answerLayUnread_restCountsFromItsArrival)
 {
     useOnce();
-    pool.give(listed, connection, 2s, 1400ms);
+    pool.returnUsed(listed, connection, 2s, 1400ms);
     now += 90ms;
     auto taken = pool.take(listed, true);
     BOOST_REQUIRE(taken);
-    pool.putBack(listed, std::move(*taken));
+    pool.returnUnused(listed, std::move(*taken));
     now += 20ms;
     BOOST_TEST(!pool.take(listed, false).has_value());
 }
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_CASE(connection_answerLayUnreadAndServerSaidNothing_isNotSurelyOpen)
 {
     useOnce();
-    pool.give(listed, connection, std::nullopt, 1100ms);
+    pool.returnUsed(listed, connection, std::nullopt, 1100ms);
     BOOST_TEST(!pool.take(listed, true).has_value());
     BOOST_TEST(pool.take(listed, false).has_value());
 }
@@ -151,7 +151,7 @@
 BOOST_AUTO_TEST_CASE(connection_answerLayUnreadForTheWholeRest_isClosed)
 {
     useOnce();
-    pool.give(listed, connection, 2s, 1500ms);
+    pool.returnUsed(listed, connection, 2s, 1500ms);
     BOOST_TEST(!pool.take(listed, false).has_value());
     BOOST_TEST(!connection->reusable());
 }
--- a/test/platform/AskWaitTest.cpp
+++ b/test/platform/AskWaitTest.cpp
@@ -237,7 +237,7 @@
                                std::optional<gateway::PlaceOutcome> &outcome)
     {
         auto &places = context().kernel.find<gateway::PlaceService>("places");
-        auto taken = co_await places.take(std::move(server), 0);
+        auto taken = co_await places.acquire(std::move(server), 0);
         outcome.emplace(std::move(taken));
     }
 
@@ -388,7 +388,8 @@
         return coldMs.load();
     };
     context().settings.askTimeout = 20s;
-    context().kernel.find<gateway::World>("world").coldStarts().setServices({{"pool", {3s, 5}}});
+    context().kernel.find<gateway::FleetView>("world").coldStarts().setServices(
+            {{"pool", {3s, 5}}});
     BOOST_TEST(coldMsAsked() == 0U);
     BOOST_TEST(coldMsAsked() == 0U);
 }
--- a/test/platform/GatewayStallTest.cpp
+++ b/test/platform/GatewayStallTest.cpp
@@ -5,9 +5,9 @@
 // Cause: the timer closed the connection without a look at what had arrived on it; a pass handles
 // only what had come when it began.
 
+#include "gateway/FleetView.h"
 #include "gateway/GatewayServices.h"
 #include "gateway/ObjectFeed.h"
-#include "gateway/World.h"
 #include "platform/GatewayFixture.h"
 #include "support/Crowd.h"
 #include "support/HeldServer.h"
@@ -81,7 +81,7 @@
     /** Begins a planned stop and runs the loop until no connection is taken any more. */
     void beginStop()
     {
-        context().kernel.find<gateway::GatewayStop>("stop").leave();
+        context().kernel.find<gateway::GatewayStop>("stop").begin();
         const boost::asio::ip::tcp::endpoint where(
                 boost::asio::ip::make_address(callerEndpoint().address), callerEndpoint().port);
         // A connection that rests is closed then.
@@ -98,7 +98,7 @@
     void passAwake(kernel::Duration time)
     {
         constexpr kernel::Duration Step = 100ms;
-        forward::ServerBook &book = context().kernel.find<gateway::World>("world").servers();
+        forward::ServerBook &book = context().kernel.find<gateway::FleetView>("world").servers();
         book.noteAwake(context().now());
         for (kernel::Duration passed = 0ms; passed < time; passed += Step) {
             stepForward(Step);
@@ -138,7 +138,7 @@
         hooks.changed = [this](std::span<const store::StoredObject> objects) {
             mostAtOnce = std::max(mostAtOnce, objects.size());
         };
-        hooks.listed = [this](const std::set<std::string> &names) { listed = names.size(); };
+        hooks.listComplete = [this](const std::set<std::string> &names) { listed = names.size(); };
         hooks.confirmed = [](kernel::Instant) {};
         feed.emplace(context, adapter.store, adapter.serverKind, paces, *sources, std::move(hooks));
     }
@@ -229,7 +229,7 @@
     void loseServerInOutage()
     {
         const auto noteGone = [this](const forward::ListedServer &) { ++gone; };
-        context().kernel.find<gateway::World>("world").onServerGone(noteGone);
+        context().kernel.find<gateway::FleetView>("world").onServerGone(noteGone);
         untilHere([this] { return watches(); }, "the store's watches");
         // A change ends the watch, and the next one finds the store away.
         store().faults.status = 503;
@@ -242,7 +242,11 @@
 
     bool listed()
     {
-        return context().kernel.find<gateway::World>("world").servers().find("i-one").has_value();
+        return context()
+                .kernel.find<gateway::FleetView>("world")
+                .servers()
+                .find("i-one")
+                .has_value();
     }
 
     /** Whether both kinds of objects are followed and nothing is on its way. */
--- a/test/platform/GatewayTest.cpp
+++ b/test/platform/GatewayTest.cpp
@@ -503,7 +503,7 @@
     until(
             [this] {
                 return context()
-                        .kernel.find<gateway::World>("world")
+                        .kernel.find<gateway::FleetView>("world")
                         .servers()
                         .find("i-one")
                         ->leaving;
@@ -535,7 +535,8 @@
         }
     }
     const auto known = [this] {
-        const auto server = context().kernel.find<gateway::World>("world").servers().find("i-new");
+        const auto server =
+                context().kernel.find<gateway::FleetView>("world").servers().find("i-new");
         return server && server->slots == Changes;
     };
     until(known, "the last change");
@@ -546,7 +547,7 @@
 {
     store().pageSize = 1;
     startReady();
-    BOOST_TEST(context().kernel.find<gateway::World>("world").servers().ids().size() == 2U);
+    BOOST_TEST(context().kernel.find<gateway::FleetView>("world").servers().ids().size() == 2U);
 }
 
 // The sweep at 300 machines: all started at once, and none got to the end of its list in 30
@@ -563,7 +564,7 @@
                      {"state", "ready"}});
     }
     startReady();
-    BOOST_TEST(context().kernel.find<gateway::World>("world").servers().ids().size() == 8U);
+    BOOST_TEST(context().kernel.find<gateway::FleetView>("world").servers().ids().size() == 8U);
 }
 
 BOOST_FIXTURE_TEST_CASE(serverRefusesConnections_requestRunsElsewhere, GatewayFixture)
@@ -617,7 +618,7 @@
     finish(idle);
     const auto running = begin(promptRequest("/stream/x"));
     until([&] { return !running->answer.body.empty(); }, "the first event");
-    context().kernel.find<gateway::GatewayStop>("stop").leave();
+    context().kernel.find<gateway::GatewayStop>("stop").begin();
     BOOST_TEST(!ready());
     const auto last = finish(begin(request("GET", "/open/x"), idle->connection));
     BOOST_TEST(last.status == 200);
--- a/test/platform/HallFixture.cpp
+++ b/test/platform/HallFixture.cpp
@@ -106,9 +106,9 @@
                  {"call_seq", 1}});
 }
 
-gateway::World &HallFixture::world(std::size_t index) const
+gateway::FleetView &HallFixture::world(std::size_t index) const
 {
-    return contextOf(index).kernel.find<gateway::World>("world");
+    return contextOf(index).kernel.find<gateway::FleetView>("world");
 }
 
 const services::CrashService &HallFixture::crashes(std::size_t index) const
--- a/test/platform/HallFixture.h
+++ b/test/platform/HallFixture.h
@@ -5,8 +5,8 @@
  */
 #pragma once
 
+#include "gateway/FleetView.h"
 #include "gateway/Gateway.h"
-#include "gateway/World.h"
 #include "platform/RunnerStandin.h"
 #include "platform/StoreStandin.h"
 #include "services/Context.h"
@@ -47,7 +47,7 @@
     /** The version in force at a box; 0: none. */
     std::uint64_t version(std::size_t index) const;
     bool everyBoxIsAt(std::uint64_t version) const;
-    gateway::World &world(std::size_t index) const;
+    gateway::FleetView &world(std::size_t index) const;
     const services::CrashService &crashes(std::size_t index) const;
 
     /** Boxes that a box takes for live, itself included. */
--- a/test/platform/LeavingWordTest.cpp
+++ b/test/platform/LeavingWordTest.cpp
@@ -2,7 +2,7 @@
 // Guards against requests that go to a server after it has said so itself, as the list doesn't say
 // it yet, or never.
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "platform/GatewayFixture.h"
 
 #include <boost/test/data/test_case.hpp>
@@ -100,7 +100,7 @@
     runners_.at(leaving).reset();
     runners_.at(leaving) = std::make_unique<standin::RunnerStandin>(io_, "i-three", where);
     list(runner(leaving), "pool");
-    auto &servers = context().kernel.find<gateway::World>("world").servers();
+    auto &servers = context().kernel.find<gateway::FleetView>("world").servers();
     until([&] { return servers.find("i-three").has_value(); }, "the new entry");
     for (int turn = 0; turn < 200 && arrivals(leaving) == 0; ++turn) {
         send("/again/x");
--- a/test/platform/ServerStateTest.cpp
+++ b/test/platform/ServerStateTest.cpp
@@ -4,7 +4,7 @@
 
 #include "platform/GatewayFixture.h"
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "support/Ports.h"
 
 #include <boost/test/unit_test.hpp>
@@ -56,7 +56,7 @@
         return spec;
     }
 
-    gateway::World &world() { return context().kernel.find<gateway::World>("world"); }
+    gateway::FleetView &world() { return context().kernel.find<gateway::FleetView>("world"); }
 
     bool takesWork(std::size_t index) { return world().servers().takesWork(runner(index).name()); }
 
@@ -182,7 +182,7 @@
 BOOST_FIXTURE_TEST_CASE(noBoundIsSet_drainsAreNotAskedFor, GatewayFixture)
 {
     startReady();
-    BOOST_TEST(context().kernel.find<gateway::World>("world").feed("evacuations") == nullptr);
+    BOOST_TEST(context().kernel.find<gateway::FleetView>("world").feed("evacuations") == nullptr);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/platform/StandstillTest.cpp
+++ b/test/platform/StandstillTest.cpp
@@ -8,7 +8,7 @@
 // server with a running request, while its bytes lay unread. Cause: silence was counted over the
 // time in which the box itself could hear nothing.
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "platform/GatewayFixture.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,10 @@
         }
     }
 
-    forward::ServerBook &book() { return context().kernel.find<gateway::World>("world").servers(); }
+    forward::ServerBook &book()
+    {
+        return context().kernel.find<gateway::FleetView>("world").servers();
+    }
     kernel::Instant now() { return context().now(); }
 
     bool anySilent()
