--- a/src/gateway/BackendExchange.cpp
+++ b/src/gateway/BackendExchange.cpp
@@ -13,33 +13,34 @@
 
 namespace {
 
-constexpr std::size_t MostAnswerBytes = std::size_t{16} * 1024 * 1024;
-constexpr int MostSurplusAnswers = 3;
-// A connection comes about within a few round trips or not in time: this part of the objective.
-constexpr int ConnectPart = 4;
-constexpr kernel::Duration ShortestConnect = 50ms;
-constexpr kernel::Duration LongestConnect = 300ms;
-constexpr kernel::Duration SilenceLook = 100ms;
-// An engine that reads a prompt is silent; this many tokens a millisecond is slow reading.
-constexpr std::int64_t SlowReading = 30;
-constexpr kernel::Duration BesideReading = 400ms;
-constexpr kernel::Duration LeastSilence = 100ms;
+constexpr std::size_t MaxAnswerBytes = std::size_t{16} * 1024 * 1024;
+constexpr int MaxForeignAnswers = 3;
+// A connection is established within a few round trips or not in time, so connecting may take this
+// fraction of the route's objective.
+constexpr int ConnectFraction = 4;
+constexpr kernel::Duration MinConnectTimeout = 50ms;
+constexpr kernel::Duration MaxConnectTimeout = 300ms;
+constexpr kernel::Duration SilenceCheckInterval = 100ms;
+// An engine sends nothing while it processes a prompt; this many tokens per millisecond is slow.
+constexpr std::int64_t SlowPromptTokensPerMs = 30;
+constexpr kernel::Duration PromptMargin = 400ms;
+constexpr kernel::Duration MinSilence = 100ms;
 constexpr int ServerFailure = 500;
 
-kernel::Duration connectWait(const RunState &run)
+kernel::Duration connectTimeout(const RunState &run)
 {
-    const kernel::Duration wanted = std::clamp<kernel::Duration>(run.route.objective / ConnectPart,
-                                                                 ShortestConnect, LongestConnect);
+    const kernel::Duration wanted = std::clamp<kernel::Duration>(
+            run.route.objective / ConnectFraction, MinConnectTimeout, MaxConnectTimeout);
     return std::min<kernel::Duration>(wanted, run.left());
 }
 
-// When a server that says nothing is looked at: later than it should have answered.
-kernel::Duration firstLook(const RunState &run, const forward::ListedServer &server)
+// When a server that has sent nothing is first checked: later than it should have answered.
+kernel::Duration firstSilenceCheck(const RunState &run, const forward::ListedServer &server)
 {
     if (server.engine) {
-        return 1ms * (run.call.prompt.tokensIn / SlowReading) + BesideReading;
+        return 1ms * (run.call.prompt.tokensIn / SlowPromptTokensPerMs) + PromptMargin;
     }
-    return std::max<kernel::Duration>(run.route.objective * 3 / 2, LeastSilence);
+    return std::max<kernel::Duration>(run.route.objective * 3 / 2, MinSilence);
 }
 
 } // namespace
@@ -63,9 +64,9 @@
     connection_.reset();
 }
 
-// The caller may still be taking the answer, while another request uses the connection: what ends
-// this run must not close it any more.
-void BackendExchange::giveBack(std::optional<kernel::Duration> keptFor)
+// The caller may still be reading the answer while another request uses the connection, so an
+// interruption of this run must no longer close it.
+void BackendExchange::returnConnection(std::optional<kernel::Duration> keptFor)
 {
     run_.interrupt->connection.reset();
     pool_.returnUsed(server_, connection_, keptFor, connection_->rested());
@@ -77,7 +78,7 @@
     run_.sentAt = run_.context.now();
     run_.fleetView.servers().begin(server_.id, run_.prompt(), run_.context.now());
     if (run_.repeatable() && run_.route.mostAttempts > run_.counts.sends + 1) {
-        armSilence(firstLook(run_, server_));
+        armSilenceTimer(firstSilenceCheck(run_, server_));
     }
     const AttemptEnd end = co_await exchange();
     silenceTimer_.cancel();
@@ -86,7 +87,7 @@
     co_return end;
 }
 
-void BackendExchange::armSilence(kernel::Duration after)
+void BackendExchange::armSilenceTimer(kernel::Duration after)
 {
     silenceTimer_.expires_after(after);
     silenceTimer_.async_wait([this, interrupt = run_.interrupt, connection = connection_,
@@ -96,19 +97,19 @@
             return;
         }
         if (!run_.fleetView.servers().silent(server_.id, run_.context.now())) {
-            armSilence(std::min(after, SilenceLook));
+            armSilenceTimer(std::min(after, SilenceCheckInterval));
         } else if (connection->answerWaits()) {
-            // It has answered; this process stood still or its caller is slow.
+            // The server has answered; this process stalled or the caller is slow.
             run_.context.counters.add("late_looks", {{"wait", "silence"}});
-            armSilence(std::min(after, SilenceLook));
+            armSilenceTimer(std::min(after, SilenceCheckInterval));
         } else {
-            endAfterATurn(after);
+            interruptAfterLoopTurn(after);
         }
     });
 }
 
-// What was read may have its handler queued behind the timer of the silence; it goes first.
-void BackendExchange::endAfterATurn(kernel::Duration after)
+// The handler of data already read may be queued behind the silence timer, so it runs first.
+void BackendExchange::interruptAfterLoopTurn(kernel::Duration after)
 {
     asio::post(run_.context.io, [this, interrupt = run_.interrupt, connection = connection_, after,
                                  taken = connection_->taken()] {
@@ -118,7 +119,7 @@
         }
         if (connection->taken() != taken || connection->answerWaits()) {
             run_.context.counters.add("late_looks", {{"wait", "silence"}});
-            armSilence(std::min(after, SilenceLook));
+            armSilenceTimer(std::min(after, SilenceCheckInterval));
         } else {
             interrupt->end(Interruption::Silent);
         }
@@ -142,7 +143,7 @@
 asio::awaitable<bool> BackendExchange::connect()
 {
     run_.fleetView.servers().noteAttempt(server_.id, run_.context.now());
-    // A new connection shows that there is a way before anything is sent.
+    // Opening a new connection shows that the server is reachable before anything is sent.
     if (!run_.choice.trial) {
         pooled_ = pool_.take(server_, !run_.repeatable());
     }
@@ -152,7 +153,7 @@
     }
     run_.context.counters.add("backend_connections");
     auto connected = co_await http::KeptConnection::connect(run_.context.io, server_.address,
-                                                            connectWait(run_));
+                                                            connectTimeout(run_));
     if (!connected) {
         const bool refused = !connected.error().timedOut;
         fail(refused ? Failure::Unreachable : Failure::NoResponse,
@@ -168,33 +169,33 @@
 
 asio::awaitable<tl::expected<http::AnswerStart, http::CallFailure>> BackendExchange::readOwnHead()
 {
-    // An answer to an earlier request may come late, in the place of this one's.
-    for (int surplus = 0;; ++surplus) {
+    // A late answer to an earlier request may arrive instead of this request's answer.
+    for (int foreign = 0;; ++foreign) {
         auto start = co_await connection_->readHead();
         if (!start) {
             co_return tl::unexpected(start.error());
         }
         const AnswerHead head =
                 run_.fleetView.adapter().dialect.readHead(start->status, start->fields);
-        noteWords(head);
+        noteServerReports(head);
         if (head.id == run_.call.id || (head.id.empty() && head.notRun)) {
             co_return start;
         }
         run_.context.counters.add("foreign_answers");
-        if (surplus == MostSurplusAnswers) {
+        if (foreign == MaxForeignAnswers) {
             co_return tl::unexpected(http::CallFailure{outcome::Point::AnswerForeign, false,
                                                        "answers of other requests came"});
         }
-        auto body = co_await connection_->readAll(MostAnswerBytes);
+        auto body = co_await connection_->readAll(MaxAnswerBytes);
         if (!body) {
             co_return tl::unexpected(body.error());
         }
     }
 }
 
-// Whichever request the answer belongs to: what the server says of itself is meant for this box.
-// Another server that has its address now speaks for itself only.
-void BackendExchange::noteWords(const AnswerHead &head)
+// Applies what the server reports about itself, whichever request the answer belongs to. If another
+// server now has its address, the report isn't about the listed server and is ignored.
+void BackendExchange::noteServerReports(const AnswerHead &head)
 {
     if (head.wrongInstance) {
         return;
@@ -205,7 +206,7 @@
     }
     if (head.restUnreadable) {
         run_.context.counters.add("rests_unreadable");
-        logRestUnreadable(run_);
+        logBackoffUnreadable(run_);
     }
     if (head.restFor && *head.restFor > kernel::Duration(0)) {
         run_.context.counters.add("rests_asked");
@@ -253,14 +254,14 @@
     http::AnswerStart first = std::move(*start);
     const bool good = head.status / 100 == 2;
     if (run_.route.stream && good && !head.notRun) {
-        co_return co_await passStream(std::move(first), std::move(head));
+        co_return co_await forwardStream(std::move(first), std::move(head));
     }
-    co_return co_await passWhole(std::move(first), std::move(head));
+    co_return co_await forwardWhole(std::move(first), std::move(head));
 }
 
-asio::awaitable<AttemptEnd> BackendExchange::passWhole(http::AnswerStart start, AnswerHead head)
+asio::awaitable<AttemptEnd> BackendExchange::forwardWhole(http::AnswerStart start, AnswerHead head)
 {
-    auto body = co_await connection_->readAll(MostAnswerBytes);
+    auto body = co_await connection_->readAll(MaxAnswerBytes);
     if (!body) {
         connection_->close();
         if (head.notRun && !run_.stopped()) {
@@ -269,7 +270,7 @@
         }
         co_return fail(Failure::Lost, "body: " + body.error().message, true);
     }
-    giveBack(head.keptFor);
+    returnConnection(head.keptFor);
     if (head.notRun) {
         const Failure failure = head.wrongInstance ? Failure::Unreachable : Failure::Full;
         fail(failure, "rejected with " + std::to_string(head.status), true);
@@ -299,7 +300,7 @@
 {
     std::string bytes;
     for (forward::RawEvent &event : cutter_.take(part)) {
-        // A run that was taken up may repeat what the caller has.
+        // A resumed run may repeat events that the caller already has.
         if (event.id && run_.lastEvent && *event.id <= *run_.lastEvent) {
             continue;
         }
@@ -311,7 +312,8 @@
     return bytes;
 }
 
-asio::awaitable<bool> BackendExchange::passEvents(const http::AnswerStart &start, std::string bytes)
+asio::awaitable<bool> BackendExchange::forwardEvents(const http::AnswerStart &start,
+                                                     std::string bytes)
 {
     if (!run_.reply.begun()) {
         http::Fields fields = http::endToEnd(start.fields);
@@ -323,7 +325,7 @@
     co_return co_await run_.reply.write(bytes);
 }
 
-asio::awaitable<AttemptEnd> BackendExchange::passStream(http::AnswerStart start, AnswerHead head)
+asio::awaitable<AttemptEnd> BackendExchange::forwardStream(http::AnswerStart start, AnswerHead head)
 {
     while (true) {
         auto part = co_await connection_->readPart();
@@ -336,7 +338,7 @@
         const bool whole = part->empty();
         std::string bytes = whole ? cutter_.takeRest() : newEvents(*part);
         if (!bytes.empty() || whole) {
-            const bool passed = co_await passEvents(start, std::move(bytes));
+            const bool passed = co_await forwardEvents(start, std::move(bytes));
             if (!passed) {
                 connection_->close();
                 run_.context.counters.add("results", {{"kind", "stream"}, {"code", "caller-left"}});
@@ -348,7 +350,7 @@
             break;
         }
     }
-    giveBack(head.keptFor);
+    returnConnection(head.keptFor);
     run_.answeredWhole = true;
     run_.fleetView.servers().noteSuccess(server_.id, run_.context.now());
     run_.context.counters.add("results", {{"kind", "stream"}, {"code", "ok"}});
--- a/src/gateway/BackendExchange.h
+++ b/src/gateway/BackendExchange.h
@@ -1,10 +1,10 @@
 /** \file
- * One attempt of a request at one backend server: connect, send, pass the answer back to the caller
- * as it comes, and say how it ended.
+ * One attempt of a request at one backend server: connects, sends the request, forwards the answer
+ * to the caller as it arrives, and returns how the attempt ended.
  *
- * An answer is passed on only if it is this request's own; a stream only in whole events, and none
- * that the caller already has. What ends the run from outside closes the connection, whose reading
- * then fails.
+ * An answer is forwarded only if it belongs to this request; a stream only in complete events, and
+ * only those that the caller doesn't have yet. An interruption closes the connection, so that
+ * reading from it fails.
  */
 #pragma once
 
@@ -18,39 +18,40 @@
 
 namespace limereel::gateway {
 
-/** The attempt at the server that the run has chosen. */
+/** One attempt at the server that the run has chosen. */
 class BackendExchange
 {
 public:
     BackendExchange(RunState &run, ConnectionPool &pool);
 
-    /** Takes a kept connection or opens one. \return false if none came about. */
+    /** Takes an idle connection from the pool or opens a new one. \return false if that fails. */
     boost::asio::awaitable<bool> connect();
 
-    /** Gives the connection back unused. */
+    /** Returns the unused connection to the pool, or closes it if it is new. */
     void returnUnused();
 
-    /** Sends the request and passes the answer on. */
+    /** Sends the request and forwards the answer to the caller. */
     boost::asio::awaitable<AttemptEnd> sendAndForward();
 
 private:
-    void giveBack(std::optional<kernel::Duration> keptFor);
-    void armSilence(kernel::Duration after);
-    void endAfterATurn(kernel::Duration after);
+    void returnConnection(std::optional<kernel::Duration> keptFor);
+    void armSilenceTimer(kernel::Duration after);
+    void interruptAfterLoopTurn(kernel::Duration after);
     boost::asio::awaitable<AttemptEnd> exchange();
     boost::asio::awaitable<tl::expected<http::AnswerStart, http::CallFailure>> readOwnHead();
-    void noteWords(const forward::AnswerHead &head);
-    boost::asio::awaitable<AttemptEnd> passWhole(http::AnswerStart start, forward::AnswerHead head);
-    boost::asio::awaitable<AttemptEnd> passStream(http::AnswerStart start,
-                                                  forward::AnswerHead head);
-    boost::asio::awaitable<bool> passEvents(const http::AnswerStart &start, std::string bytes);
+    void noteServerReports(const forward::AnswerHead &head);
+    boost::asio::awaitable<AttemptEnd> forwardWhole(http::AnswerStart start,
+                                                    forward::AnswerHead head);
+    boost::asio::awaitable<AttemptEnd> forwardStream(http::AnswerStart start,
+                                                     forward::AnswerHead head);
+    boost::asio::awaitable<bool> forwardEvents(const http::AnswerStart &start, std::string bytes);
     std::string newEvents(std::string_view part);
     AttemptEnd fail(forward::Failure failure, const std::string &message, bool sent);
 
     RunState &run_;
     ConnectionPool &pool_;
     const forward::ListedServer server_;
-    std::optional<PooledConnection> pooled_; ///< If the connection was taken from the pool.
+    std::optional<PooledConnection> pooled_; ///< Set if the connection was taken from the pool.
     http::KeptConnection::Ptr connection_;
     boost::asio::steady_timer silenceTimer_;
     forward::EventCutter cutter_;
--- a/src/gateway/ConnectionPool.cpp
+++ b/src/gateway/ConnectionPool.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-constexpr kernel::Duration KeptUntold = 4s;
-// A server counts its idle time from when its answer left, and closes while a request is on its
-// way.
-constexpr kernel::Duration Margin = 500ms;
-constexpr kernel::Duration SurelyOpen = 1s; ///< Where the server didn't say how long it waits.
-constexpr std::size_t MostIdle = 16;        ///< To one server.
+constexpr kernel::Duration DefaultKeepAlive = 4s;
+// A server counts its idle timeout from when it sent its answer, and may close the connection while
+// a request is in transit.
+constexpr kernel::Duration KeepAliveMargin = 500ms;
+constexpr kernel::Duration SurelyOpen = 1s; ///< If the server didn't announce its idle timeout.
+constexpr std::size_t MaxIdle = 16;         ///< Connections per server.
 
 } // namespace
 
@@ -22,16 +22,16 @@
     }
     std::vector<PooledConnection> &idle = place->second;
     const kernel::Instant now = context_.now();
-    // The one that was used last is the least likely to be closed.
+    // The connection that was used last is the least likely to be closed.
     while (!idle.empty()) {
         PooledConnection last = idle.back();
-        const bool sound = now < last.usableUntil && last.connection->quiet();
+        const bool intact = now < last.usableUntil && last.connection->quiet();
         const bool sure = last.keepAliveKnown || now - last.idleSince < SurelyOpen;
-        if (sound && surelyOpen && !sure) {
+        if (intact && surelyOpen && !sure) {
             return std::nullopt;
         }
         idle.pop_back();
-        if (sound) {
+        if (intact) {
             return last;
         }
         last.connection->close();
@@ -42,17 +42,17 @@
 void ConnectionPool::returnUsed(const forward::ListedServer &server,
                                 http::KeptConnection::Ptr connection,
                                 std::optional<kernel::Duration> keptFor,
-                                std::optional<kernel::Duration> rested)
+                                std::optional<kernel::Duration> idleFor)
 {
-    const kernel::Duration kept = keptFor ? *keptFor - Margin : KeptUntold;
+    const kernel::Duration kept = keptFor ? *keptFor - KeepAliveMargin : DefaultKeepAlive;
     std::vector<PooledConnection> &idle = idle_[server.id];
-    const bool usable = connection->reusable() && rested && *rested < kept;
-    if (!usable || idle.size() >= MostIdle) {
+    const bool usable = connection->reusable() && idleFor && *idleFor < kept;
+    if (!usable || idle.size() >= MaxIdle) {
         connection->close();
         return;
     }
-    // This process may have stood still, or its caller been slow, while the answer lay there.
-    const kernel::Instant idleSince = context_.now() - *rested;
+    // The answer may have arrived earlier: this process stalled or the caller was slow.
+    const kernel::Instant idleSince = context_.now() - *idleFor;
     idle.push_back({std::move(connection), idleSince, idleSince + kept, keptFor.has_value()});
 }
 
@@ -94,11 +94,11 @@
     const kernel::Instant now = context_.now();
     for (auto &[id, idle] : idle_) {
         std::erase_if(idle, [&](const PooledConnection &item) {
-            const bool over = now >= item.usableUntil || !item.connection->quiet();
-            if (over) {
+            const bool expired = now >= item.usableUntil || !item.connection->quiet();
+            if (expired) {
                 item.connection->close();
             }
-            return over;
+            return expired;
         });
     }
     std::erase_if(idle_, [](const auto &item) { return item.second.empty(); });
--- a/src/gateway/ConnectionPool.h
+++ b/src/gateway/ConnectionPool.h
@@ -1,6 +1,6 @@
 /** \file
- * Idle connections to backend servers, by their incarnation, so that none is used for another
- * server that has taken over the address.
+ * Idle connections to backend servers. They are kept by the server's incarnation, so that none is
+ * used for another server that has taken over the address.
  */
 #pragma once
 
@@ -15,16 +15,16 @@
 
 namespace limereel::gateway {
 
-/** An idle connection with what is known of how long it stays open. */
+/** An idle connection and how long it is expected to stay open. */
 struct PooledConnection
 {
     http::KeptConnection::Ptr connection;
-    kernel::Instant idleSince;   ///< Its last answer arrived, read or not.
-    kernel::Instant usableUntil; ///< It isn't used from then on.
-    bool keepAliveKnown = false; ///< The server said how long it keeps it.
+    kernel::Instant idleSince;   ///< When its last answer arrived, even if it was read later.
+    kernel::Instant usableUntil; ///< It isn't used from this time on.
+    bool keepAliveKnown = false; ///< The server announced how long it keeps it open.
 };
 
-/** The pool. */
+/** A pool of idle connections. */
 class ConnectionPool
 {
 public:
@@ -34,35 +34,35 @@
     }
 
     /**
-     * An idle connection to \a server, if there is one.
-     * \param surelyOpen only one of which the server can't be about to close it.
+     * Takes an idle connection to \a server, if there is one.
+     * \param surelyOpen accepts only a connection that the server can't be about to close.
      */
     std::optional<PooledConnection> take(const forward::ListedServer &server, bool surelyOpen);
 
-    /** Gives back what was taken and not used. It is no fresher than it was. */
+    /** Returns a connection that was taken and not used. Its idle time goes on unchanged. */
     void returnUnused(const forward::ListedServer &server, PooledConnection unused);
 
     /**
-     * Keeps \a connection if it may be used again.
-     * \param keptFor what the server said of idling.
-     * \param rested since its answer arrived; nothing if that isn't known.
+     * Returns \a connection after an exchange; keeps it if it can be used again, else closes it.
+     * \param keptFor the idle timeout that the server announced.
+     * \param rested time since its answer arrived; empty if unknown.
      */
     void returnUsed(const forward::ListedServer &server, http::KeptConnection::Ptr connection,
                     std::optional<kernel::Duration> keptFor,
-                    std::optional<kernel::Duration> rested);
+                    std::optional<kernel::Duration> idleFor);
 
     /**
-     * Closes the connections to \a id that have rested since before \a before, when something was
-     * sent on one of their kind and nothing came back. What silences one without a reset, such as a
-     * lost entry of a middlebox, silences those that rested beside it; each offered in turn would
-     * cost a request its wait for the silence.
+     * Closes the connections to server \a id that have been idle since before \a before. Called
+     * when a request on such a connection got no answer: a fault that silences one connection
+     * without a reset, such as an entry dropped by a middlebox, silences all that were idle at that
+     * time. Reusing each of them would cost a request its silence timeout.
      */
     void closeIdleBefore(const std::string &id, kernel::Instant before);
 
     /** Closes all connections to \a id. */
     void drop(const std::string &id);
 
-    /** Closes those that have idled for too long. */
+    /** Closes connections that have been idle for too long or are no longer usable. */
     void sweep();
 
 private:
--- a/src/gateway/PlaceService.cpp
+++ b/src/gateway/PlaceService.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr kernel::Duration SweepEvery = 1s;
-constexpr int MostSilences = 2; ///< Then another box is taken for the owner.
-// Views, a second apart, by which a box has to own a server to be thought its only owner: news of a
-// box that comes, goes or is cut off reach the others within two seconds.
-constexpr std::size_t ViewsToSettle = 4;
-// Reasons of suggestions: what the engine holds.
+constexpr kernel::Duration SweepInterval = 1s;
+constexpr int MaxSilences = 2; ///< After these, another box is considered the owner.
+// Consecutive samples, a second apart, in which this box has to own a server before it counts as
+// the only owner. Other boxes learn within two seconds of a box that starts, stops or is cut off.
+constexpr std::size_t SamplesForSoleOwner = 4;
+// The reason in a suggestion says what the engine holds.
 constexpr std::uint8_t AllParts = 0;
 constexpr std::uint8_t FirstPart = 1;
 
@@ -29,8 +29,8 @@
     return policy;
 }
 
-// A box that knows of others and hears of none may be cut off from them all, and restarted so: it
-// keeps to the part of a box among some for a minute.
+// A box that has several seeds but hears from no other box may be cut off from all of them since
+// its restart. For a minute it assumes that others exist and limits itself to a share.
 forward::FleetMemoryPolicy startFleetPolicy(const kernel::BoxSettings &settings)
 {
     forward::FleetMemoryPolicy policy;
@@ -84,11 +84,11 @@
                 ledger_.expire(context_.now());
                 holders_.expire(context_.now());
                 starts_.expire(context_.now());
-                noteOwners();
+                sampleOwners();
                 const auto &members =
                         context_.kernel.find<services::MembershipService>("membership");
                 fleetView_.budget().setBoxes(fleet_.note(members.owners().size(), context_.now()));
-                co_return kernel::Duration(SweepEvery);
+                co_return kernel::Duration(SweepInterval);
             });
 }
 
@@ -104,7 +104,7 @@
             std::max<std::size_t>(fleetView_.servers().serversBeside(engine), 1)};
 }
 
-peer::PermitAnswer PlaceService::nameHolders(const peer::AskPermit &ask) const
+peer::PermitAnswer PlaceService::findHolders(const peer::AskPermit &ask) const
 {
     const kernel::Instant now = context_.now();
     peer::PermitAnswer reply;
@@ -125,31 +125,32 @@
 {
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
     const std::size_t seen = std::max<std::size_t>(members.owners().size(), 1);
-    return {seen, startFleet_.note(seen, context_.now()), ownedForLong(server)};
+    return {seen, startFleet_.note(seen, context_.now()), isSoleOwner(server)};
 }
 
-bool PlaceService::ownedForLong(std::uint64_t server) const
+bool PlaceService::isSoleOwner(std::uint64_t server) const
 {
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
     const auto owns = [&](const std::vector<std::uint64_t> &owners) {
         return membership::ownerOf(server, owners) == members.self();
     };
-    return ownersBefore_.size() >= ViewsToSettle && owns(members.owners())
-           && std::ranges::all_of(ownersBefore_, owns);
+    return ownerSamples_.size() >= SamplesForSoleOwner && owns(members.owners())
+           && std::ranges::all_of(ownerSamples_, owns);
 }
 
-void PlaceService::noteOwners()
+void PlaceService::sampleOwners()
 {
     const auto &members = context_.kernel.find<services::MembershipService>("membership");
-    ownersBefore_.push_back(members.owners());
-    if (ownersBefore_.size() > ViewsToSettle) {
-        ownersBefore_.pop_front();
+    ownerSamples_.push_back(members.owners());
+    if (ownerSamples_.size() > SamplesForSoleOwner) {
+        ownerSamples_.pop_front();
     }
 }
 
-// What the server bears while it is cold, or 0. As the owner. Whoever knows that the server is
-// cold, the bound holds: what an asker says is remembered for those who don't know. Askers don't
-// remember what the owner says: told back to it, the word would never end.
+// Returns, as the owner, the request rate that the server accepts while it is cold, or 0 if it
+// isn't cold. The limit holds as soon as any box knows that the server is cold: the owner remembers
+// the cold state reported by an asking box. Asking boxes don't store the owner's answer, because
+// they would report it back and the state would never expire.
 double PlaceService::coldRate(const peer::AskPermit &ask)
 {
     const kernel::Instant now = context_.now();
@@ -171,7 +172,7 @@
     return starts_.grant({ask.resource, perSecond, members.self()}, fleetPart(ask.resource), now);
 }
 
-bool PlaceService::startsAlone(const forward::ListedServer &server)
+bool PlaceService::grantStartAlone(const forward::ListedServer &server)
 {
     const kernel::Instant now = context_.now();
     const forward::ColdState state = fleetView_.coldStarts().state(server, now);
@@ -194,11 +195,11 @@
     return reply;
 }
 
-// The decision of the owner, for another box as for itself.
+// Decides as the owner, for other boxes and for this one alike.
 peer::PermitAnswer PlaceService::decide(const peer::AskPermit &ask)
 {
     if (ask.kind == peer::AskKind::Holders) {
-        return nameHolders(ask);
+        return findHolders(ask);
     }
     if (ask.kind == peer::AskKind::Start) {
         return decideStart(ask);
@@ -215,7 +216,8 @@
         reply.result = peer::PermitResult::Cold;
         reply.load = answer.load - 1;
     } else if (!answer.granted && perSecond > 0) {
-        // One that is only full may be taken all the same once others are, too; not this one.
+        // An engine that is merely full may still be used when the others are full, too. A cold one
+        // must not be.
         reply.result = peer::PermitResult::Cold;
     }
     if (ask.chat != 0) {
@@ -243,8 +245,8 @@
     return ask;
 }
 
-// Asks the owner of the ask's server, which may be this box.
-asio::awaitable<std::optional<peer::PermitAnswer>> PlaceService::askAny(peer::AskPermit ask)
+// Asks the owner of the requested resource, which may be this box.
+asio::awaitable<std::optional<peer::PermitAnswer>> PlaceService::askOwnerOf(peer::AskPermit ask)
 {
     auto &members = context_.kernel.find<services::MembershipService>("membership");
     const auto owner = membership::ownerOf(ask.resource, members.owners());
@@ -261,9 +263,9 @@
 asio::awaitable<bool> PlaceService::acquireColdSend(forward::ListedServer server)
 {
     peer::AskPermit ask = askOf(server, peer::AskKind::Start);
-    const auto answer = co_await askAny(ask);
+    const auto answer = co_await askOwnerOf(ask);
     const bool granted =
-            answer ? answer->result == peer::PermitResult::Granted : startsAlone(server);
+            answer ? answer->result == peer::PermitResult::Granted : grantStartAlone(server);
     context_.counters.add("cold_starts", {{"result", granted ? "granted" : "refused"},
                                           {"by", answer ? "owner" : "share"}});
     co_return granted;
@@ -280,29 +282,29 @@
     const auto owner = membership::ownerOf(ask.resource, members.owners());
     PlaceOutcome outcome;
     outcome.place = Place{ask.request, ask.resource, 0, owner.value_or(0)};
-    const auto answer = co_await askAny(ask);
+    const auto answer = co_await askOwnerOf(ask);
     if (!answer) {
         context_.counters.add("places", {{"result", "no-answer"}});
-        outcome.cold = !startsAlone(server);
+        outcome.cold = !grantStartAlone(server);
         if (outcome.cold) {
-            // The answer alone may have been lost.
+            // The owner may have granted the place and only its answer may have been lost.
             giveBack(*outcome.place);
             outcome.place.reset();
         }
     } else {
-        takeAnswer(server, *answer, outcome);
+        applyAnswer(server, *answer, outcome);
     }
     co_return outcome;
 }
 
-void PlaceService::takeAnswer(const forward::ListedServer &server, const peer::PermitAnswer &answer,
-                              PlaceOutcome &outcome)
+void PlaceService::applyAnswer(const forward::ListedServer &server,
+                               const peer::PermitAnswer &answer, PlaceOutcome &outcome)
 {
     const kernel::Instant now = context_.now();
     const bool granted = answer.result == peer::PermitResult::Granted;
-    const std::uint32_t mine = fleetView_.servers().ownLoadAt(server.id) + (granted ? 1 : 0);
+    const std::uint32_t ownRequests = fleetView_.servers().ownLoadAt(server.id) + (granted ? 1 : 0);
     const std::uint32_t load = answer.load;
-    fleetView_.servers().setOthers(server.id, load > mine ? load - mine : 0, now);
+    fleetView_.servers().setOthers(server.id, load > ownRequests ? load - ownRequests : 0, now);
     outcome.cold = answer.result == peer::PermitResult::Cold;
     const char *refused = outcome.cold ? "cold" : "full";
     context_.counters.add("places", {{"result", granted ? "granted" : refused}});
@@ -318,16 +320,16 @@
 void PlaceService::reportHolder(const forward::ListedServer &first,
                                 const forward::ListedServer &server, std::uint64_t partsKey)
 {
-    tellKeyOwner(first.hash(), partsKey, server);
+    reportToKeyOwner(first.hash(), partsKey, server);
 }
 
 asio::awaitable<PromptPartHolders> PlaceService::findPartHolders(const forward::Prompt &prompt)
 {
     const std::vector<std::uint64_t> keys = forward::sharedPrefixes(prompt);
     auto &members = context_.kernel.find<services::MembershipService>("membership");
-    PromptPartHolders word;
+    PromptPartHolders found;
     if (keys.empty()) {
-        co_return word;
+        co_return found;
     }
     peer::AskPermit ask;
     ask.kind = peer::AskKind::Holders;
@@ -335,15 +337,15 @@
     ask.router = members.self();
     ask.chat = keys.back();
     ask.resource = keys.front();
-    const auto answer = co_await askAny(ask);
+    const auto answer = co_await askOwnerOf(ask);
     context_.counters.add("parts_asked", {{"result", answer ? "answered" : "no-answer"}});
     if (answer) {
         for (const peer::Suggestion &suggestion : answer->suggestions) {
-            auto &engines = suggestion.reason == AllParts ? word.holders : word.beginners;
+            auto &engines = suggestion.reason == AllParts ? found.holders : found.beginners;
             engines.push_back(suggestion.engine);
         }
     }
-    co_return word;
+    co_return found;
 }
 
 void PlaceService::reportParts(const forward::Prompt &prompt, const forward::ListedServer &server)
@@ -352,14 +354,14 @@
     if (keys.empty()) {
         return;
     }
-    tellKeyOwner(keys.front(), keys.back(), server);
+    reportToKeyOwner(keys.front(), keys.back(), server);
     if (keys.size() > 1) {
-        tellKeyOwner(keys.front(), keys.front(), server);
+        reportToKeyOwner(keys.front(), keys.front(), server);
     }
 }
 
-void PlaceService::tellKeyOwner(std::uint64_t home, std::uint64_t partsKey,
-                                const forward::ListedServer &server)
+void PlaceService::reportToKeyOwner(std::uint64_t home, std::uint64_t partsKey,
+                                    const forward::ListedServer &server)
 {
     auto &members = context_.kernel.find<services::MembershipService>("membership");
     const membership::ShortHash engine = membership::shortHash(server.hash());
@@ -414,7 +416,7 @@
 
 void PlaceService::noteSilent(std::uint64_t owner)
 {
-    if (++silences_[owner] >= MostSilences) {
+    if (++silences_[owner] >= MaxSilences) {
         silences_.erase(owner);
         context_.kernel.find<services::MembershipService>("membership").noteUnreachable(owner);
     }
--- a/src/gateway/PlaceService.h
+++ b/src/gateway/PlaceService.h
@@ -1,8 +1,9 @@
 /** \file
- * Asks the owner of an engine for a place there, and answers for the engines that this box owns.
+ * Asks the owner of an engine for a place, which is a lease on one slot of the engine, and grants
+ * places at the engines that this box owns.
  *
- * The owner of an engine is found by rendezvous hashing over the live boxes. One that doesn't
- * answer in time is passed over: the asker then decides on what it knows itself.
+ * The owner of an engine is found by rendezvous hashing over the live boxes. If the owner doesn't
+ * answer in time, the asking box decides on what it knows itself.
  */
 #pragma once
 
@@ -23,31 +24,31 @@
 
 namespace limereel::gateway {
 
-/** A place that was granted, or taken without an owner's word. */
+/** A lease on one slot of an engine, granted by its owner or taken without the owner's answer. */
 struct Place
 {
     std::uint64_t request = 0;
     std::uint64_t engine = 0;
-    std::uint64_t owner = 0; ///< 0: no owner granted it.
-    std::uint64_t asked = 0; ///< The box that may count it, whether its answer came or not.
+    std::uint64_t owner = 0; ///< The box that granted it; 0: none did.
+    std::uint64_t asked = 0; ///< The box asked; may count it even if its answer was lost.
 };
 
-/** What came of asking for a place. */
+/** The result of asking for a place. */
 struct PlaceOutcome
 {
-    std::optional<Place> place; ///< Nothing if the owner says that the engine is full.
+    std::optional<Place> place;                 ///< Empty if the owner refused it.
     std::vector<membership::ShortHash> holders; ///< Engines that hold the prompt's shared parts.
-    bool cold = false; ///< Nothing was granted as the server is cold and has had its share.
+    bool cold = false; ///< Refused because the server is cold and has reached its limit.
 };
 
-/** Where the shared parts of a prompt lie, as the one box says that remembers it for all. */
+/** Which engines hold the shared parts of a prompt, according to the box that keeps their index. */
 struct PromptPartHolders
 {
-    std::vector<membership::ShortHash> holders;   ///< Engines that lately got all of them.
-    std::vector<membership::ShortHash> beginners; ///< Engines that lately got the first one.
+    std::vector<membership::ShortHash> holders;   ///< Engines that recently received all of them.
+    std::vector<membership::ShortHash> beginners; ///< Engines that recently received the first one.
 };
 
-/** The service. */
+/** Asks for places and, as an owner, grants them. */
 class PlaceService : public kernel::Service
 {
 public:
@@ -58,29 +59,30 @@
     void stop() override;
 
     /**
-     * Asks for a place at \a server for a prompt whose shared parts have \a partsKey. Where the
-     * server is cold this is also leave to send it one more request; without an owner's word the
-     * box's own part of that is taken.
+     * Asks for a place at \a server for a prompt whose shared parts have the key \a partsKey. If
+     * the server is cold, a granted place also permits sending it one more request; if the owner
+     * doesn't answer, this box uses its own share of the cold server's limit.
      */
     boost::asio::awaitable<PlaceOutcome> acquire(forward::ListedServer server,
                                                  std::uint64_t partsKey);
 
-    /** Asks for leave to send one more request to a plain server that may be cold. */
+    /** Asks for permission to send one more request to a plain server that may be cold. */
     boost::asio::awaitable<bool> acquireColdSend(forward::ListedServer server);
 
-    /** Tells the owner of \a first, whom all boxes ask first for these parts, that they lie at
-     * \a server from now on. */
+    /** Tells the owner of \a first, the engine that all boxes try first for these parts, that
+     * \a server holds them from now on. */
     void reportHolder(const forward::ListedServer &first, const forward::ListedServer &server,
                       std::uint64_t partsKey);
 
     /**
-     * Asks the box that remembers it for all where the shared parts of \a prompt lie. The owner of
-     * an engine knows it only of prompts that ask for that engine first: when engines come or go,
-     * others come first. That box is the owner of the first part, by rendezvous hashing.
+     * Asks which engines hold the shared parts of \a prompt. The box that keeps the index of them
+     * is the owner of the first part, by rendezvous hashing. The owner of an engine isn't enough:
+     * it knows only the prompts for which this engine is tried first, and that changes whenever
+     * engines are added or removed.
      */
     boost::asio::awaitable<PromptPartHolders> findPartHolders(const forward::Prompt &prompt);
 
-    /** Tells that box that the parts lie at \a server from now on. */
+    /** Tells the box that keeps the index that \a server holds the parts from now on. */
     void reportParts(const forward::Prompt &prompt, const forward::ListedServer &server);
 
     void giveBack(const Place &place);
@@ -94,23 +96,23 @@
 
     forward::FleetSize fleetFor(std::uint64_t engine) const;
     forward::FleetPart fleetPart(std::uint64_t server);
-    bool ownedForLong(std::uint64_t server) const;
-    void noteOwners();
-    boost::asio::awaitable<std::optional<peer::PermitAnswer>> askAny(peer::AskPermit ask);
+    bool isSoleOwner(std::uint64_t server) const;
+    void sampleOwners();
+    boost::asio::awaitable<std::optional<peer::PermitAnswer>> askOwnerOf(peer::AskPermit ask);
     peer::AskPermit askOf(const forward::ListedServer &server, peer::AskKind kind) const;
-    void takeAnswer(const forward::ListedServer &server, const peer::PermitAnswer &answer,
-                    PlaceOutcome &outcome);
-    bool startsAlone(const forward::ListedServer &server);
+    void applyAnswer(const forward::ListedServer &server, const peer::PermitAnswer &answer,
+                     PlaceOutcome &outcome);
+    bool grantStartAlone(const forward::ListedServer &server);
     double coldRate(const peer::AskPermit &ask);
     bool grantsStart(const peer::AskPermit &ask, double perSecond);
     peer::PermitAnswer decideStart(const peer::AskPermit &ask);
-    peer::PermitAnswer nameHolders(const peer::AskPermit &ask) const;
+    peer::PermitAnswer findHolders(const peer::AskPermit &ask) const;
     peer::PermitAnswer decide(const peer::AskPermit &ask);
     void receive(const peer::Message &message, const kernel::Endpoint &from);
     boost::asio::awaitable<std::optional<peer::PermitAnswer>> askOwner(std::uint64_t owner,
                                                                        peer::AskPermit ask);
-    void tellKeyOwner(std::uint64_t home, std::uint64_t partsKey,
-                      const forward::ListedServer &server);
+    void reportToKeyOwner(std::uint64_t home, std::uint64_t partsKey,
+                          const forward::ListedServer &server);
     void noteSilent(std::uint64_t owner);
     std::uint32_t countAsk(const std::string &service);
 
@@ -118,13 +120,13 @@
     FleetView &fleetView_;
     forward::PlaceLedger ledger_;
     forward::HolderIndex holders_;
-    std::map<std::string, forward::RecentCount> asks_;          ///< Of this box, by service.
-    std::map<std::uint64_t, std::shared_ptr<Pending>> pending_; ///< By request.
-    forward::FleetMemory fleet_;                                ///< Divides the retry budget.
-    forward::StartLedger starts_;                               ///< Of cold servers.
-    forward::FleetMemory startFleet_;                           ///< Divides the leave to start.
-    std::deque<std::vector<std::uint64_t>> ownersBefore_;       ///< A view a second, newest last.
-    std::map<std::uint64_t, int> silences_;                     ///< In a row, by owner.
+    std::map<std::string, forward::RecentCount> asks_; ///< Recent asks of this box, by service.
+    std::map<std::uint64_t, std::shared_ptr<Pending>> pending_; ///< Unanswered asks, by request.
+    forward::FleetMemory fleet_;      ///< Number of boxes that share the retry budget.
+    forward::StartLedger starts_;     ///< Requests granted to cold servers.
+    forward::FleetMemory startFleet_; ///< Number of boxes that share a cold server's limit.
+    std::deque<std::vector<std::uint64_t>> ownerSamples_; ///< A sample a second, newest last.
+    std::map<std::uint64_t, int> silences_;               ///< Unanswered asks in a row, by owner.
     std::unique_ptr<services::Repeat> sweep_;
 };
 
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr std::uint32_t MostRejections = 2;
-constexpr std::uint32_t MostUnsent = 3;
-constexpr std::size_t MostAsks = 3;         ///< Owners that are asked for a place.
-constexpr kernel::Duration LeastLeft = 5ms; ///< With less there is no use in sending.
-constexpr kernel::Duration PatienceUntold = 60s;
-// A server that was taken for restarted isn't again in this time, longer than any is cold.
-constexpr kernel::Duration StartOnce = 20s;
+constexpr std::uint32_t MaxRejections = 2;
+constexpr std::uint32_t MaxUnsent = 3;
+constexpr std::size_t MaxOwnersAsked = 3;     ///< Owners that are asked for a place.
+constexpr kernel::Duration MinTimeLeft = 5ms; ///< A request with less time left isn't sent.
+constexpr kernel::Duration DefaultPatience = 60s;
+// Shortest time between two restarts that are assumed of one server; longer than any is cold.
+constexpr kernel::Duration MinRestartInterval = 20s;
 constexpr const char *AllCold = "all backend servers that could run it have just started and have "
                                 "been sent as many requests as they bear";
-constexpr const char *AllAtTheirPlaces =
+constexpr const char *AllFull =
         "all backend servers that could run it have as many requests as they have places";
 constexpr const char *AllRest = "all backend servers that could run it have turned requests away "
                                 "and asked for rest";
@@ -68,7 +68,7 @@
     });
     run_.fleetView.budget().countRequest(run_.service, run_.began);
     co_await runAttempts();
-    givePlaceBack();
+    releasePlace();
 }
 
 std::optional<RequestRun::Refusal> RequestRun::admit()
@@ -88,14 +88,15 @@
     const forward::Service *service = snapshot->service(run_.service);
     run_.movesParts = service != nullptr && service->movesParts;
     const kernel::Duration patience =
-            run_.call.patience > 0s ? run_.call.patience : kernel::Duration(PatienceUntold);
+            run_.call.patience > 0s ? run_.call.patience : kernel::Duration(DefaultPatience);
     run_.deadline = run_.began
                     + (run_.route.timeout > 0s ? std::min(patience, run_.route.timeout) : patience);
     run_.priority = run_.route.priority;
     return checkKey();
 }
 
-// Also right before each send: the process may have stood still since the request came.
+// Also called right before each send, because the process may have stalled since the request
+// arrived.
 std::optional<RequestRun::Refusal> RequestRun::checkKey()
 {
     const forward::SnapshotPtr snapshot = run_.fleetView.snapshot();
@@ -125,18 +126,20 @@
 
 void RequestRun::armTimers()
 {
-    // An answer that came while the process stood still is delivered, also late.
+    // An answer that arrived while the process stalled is delivered even after the deadline.
     const auto heard = [interrupt = run_.interrupt] {
         return interrupt->connection ? interrupt->connection->heard() : http::Heard{};
     };
-    const auto over = [interrupt = run_.interrupt] { interrupt->end(Interruption::Deadline); };
-    deadlineTimer_.start(run_.left(), heard, over);
+    const auto onDeadline = [interrupt = run_.interrupt] {
+        interrupt->end(Interruption::Deadline);
+    };
+    deadlineTimer_.start(run_.left(), heard, onDeadline);
 }
 
 asio::awaitable<void> RequestRun::runAttempts()
 {
     while (!run_.stopped()) {
-        if (auto refusal = co_await takeLeave()) {
+        if (auto refusal = co_await acquireSendPermission()) {
             run_.lastMessage = refusal->message;
             if (run_.counts.sends > 0) {
                 break;
@@ -150,20 +153,21 @@
                     run_.lastMessage.empty() ? "no backend server can be used" : run_.lastMessage;
             break;
         }
-        if (run_.left() < LeastLeft) {
+        if (run_.left() < MinTimeLeft) {
             run_.interrupt->reason = Interruption::Deadline;
             break;
         }
         run_.choice = std::move(*choice);
         run_.beginAttempt();
         const AttemptEnd end = co_await attempt();
-        givePlaceBack();
+        releasePlace();
         co_await noteEnd(end);
         if (end == AttemptEnd::Answered) {
             co_return;
         }
         tried_.push_back(run_.choice.server.id);
-        // Counted whatever ended the attempt: what may have run must never be called "not run".
+        // Counted however the attempt ended, so that a request that may have run is never reported
+        // as not run.
         run_.counts.add(end);
         if (run_.interrupt->reason == Interruption::Silent) {
             run_.interrupt->reason = Interruption::None;
@@ -175,15 +179,16 @@
     co_await giveUp();
 }
 
-// A request under which servers have ended may have to run alone, or not at all.
-asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::takeLeave()
+// A request during which servers have crashed may have to run alone on its server, or not at all.
+asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::acquireSendPermission()
 {
-    const services::SendLeave leave = co_await run_.guard.takeLeave(run_.left());
-    if (leave.granted()) {
+    const services::SendLeave permission = co_await run_.guard.takeLeave(run_.left());
+    if (permission.granted()) {
         co_return std::nullopt;
     }
-    logSendDenied(run_, leave);
-    co_return Refusal{services::codeOf(leave), services::whyNoLeave(leave), true, leave.comeBack};
+    logSendDenied(run_, permission);
+    co_return Refusal{services::codeOf(permission), services::whyNoLeave(permission), true,
+                      permission.comeBack};
 }
 
 asio::awaitable<void> RequestRun::noteEnd(AttemptEnd end)
@@ -201,133 +206,136 @@
     co_await run_.guard.noteEnd(sight, std::move(tried));
 }
 
-// Engines are bounded: the owner of the chosen one has to agree. After some that are full any other
-// one is taken all the same, since a request that waits here helps nobody. A server that is cold is
-// never taken without leave: one that is sent too much falls over.
+// An engine has a limited number of slots, so the owner of the chosen engine has to grant a place.
+// After several full engines another one is used without a place, since waiting here wouldn't help.
+// A cold server is never used without permission, because too many requests would overload it.
 asio::awaitable<std::optional<forward::Choice>> RequestRun::chooseServer()
 {
-    forward::Wish wish;
-    wish.service = run_.service;
-    wish.prompt = run_.prompt();
-    wish.tried = tried_;
-    wish.regions = run_.regions;
-    wish.takeParts = run_.movesParts;
-    wish.alone = run_.guard.isAlone();
+    forward::Wish requirements;
+    requirements.service = run_.service;
+    requirements.prompt = run_.prompt();
+    requirements.tried = tried_;
+    requirements.regions = run_.regions;
+    requirements.takeParts = run_.movesParts;
+    requirements.alone = run_.guard.isAlone();
     while (true) {
-        auto choice =
-                run_.fleetView.servers().choose(wish, run_.context.now(), run_.context.random);
+        auto choice = run_.fleetView.servers().choose(requirements, run_.context.now(),
+                                                      run_.context.random);
         if (!choice) {
-            noteNoServer(wish);
-            run_.lastMessage = wish.barred.empty() ? run_.lastMessage : AllCold;
+            noteNoServer(requirements);
+            run_.lastMessage = requirements.barred.empty() ? run_.lastMessage : AllCold;
             co_return choice;
         }
-        const bool learned = co_await learnHolders(wish, *choice);
+        const bool learned = co_await learnHolders(requirements, *choice);
         if (learned) {
             continue;
         }
         noteTrial(*choice);
-        const bool taken = co_await takePlace(wish, *choice);
+        const bool taken = co_await takePlace(requirements, *choice);
         if (taken) {
             co_return choice;
         }
     }
 }
 
-void RequestRun::noteNoServer(const forward::Wish &wish)
+void RequestRun::noteNoServer(const forward::Wish &requirements)
 {
     const kernel::Instant now = run_.context.now();
-    allRest_ = run_.fleetView.servers().allRest(wish, now);
-    if (!allRest_ && run_.fleetView.servers().heldToPlaces(wish.service, now)) {
+    allInBackoff_ = run_.fleetView.servers().allRest(requirements, now);
+    if (!allInBackoff_ && run_.fleetView.servers().heldToPlaces(requirements.service, now)) {
         run_.context.counters.add("held_to_places");
-        run_.lastMessage = AllAtTheirPlaces;
+        run_.lastMessage = AllFull;
     }
 }
 
-// Where the chosen engine isn't known to hold the prompt's parts, nor any other, the box is asked
-// that remembers it for all. Gives true if it named some: then the choice is made anew.
-asio::awaitable<bool> RequestRun::learnHolders(forward::Wish &wish, const forward::Choice &choice)
+// If neither the chosen engine nor any other is known to hold the prompt's parts, asks the box that
+// keeps the index of them. Returns true if it named holders; the caller then chooses again.
+asio::awaitable<bool> RequestRun::learnHolders(forward::Wish &requirements,
+                                               const forward::Choice &choice)
 {
-    const bool wanted = wish.prompt != nullptr && wish.takeParts && !wish.holdersAsked;
-    if (!wanted || run_.fleetView.servers().sourceKnown(wish, choice, run_.context.now())) {
+    const bool wanted =
+            requirements.prompt != nullptr && requirements.takeParts && !requirements.holdersAsked;
+    if (!wanted || run_.fleetView.servers().sourceKnown(requirements, choice, run_.context.now())) {
         co_return false;
     }
-    wish.holdersAsked = true;
-    PromptPartHolders word = co_await places_.findPartHolders(run_.call.prompt);
-    std::ranges::move(word.holders, std::back_inserter(wish.holders));
-    wish.beginners = std::move(word.beginners);
-    co_return !wish.holders.empty();
+    requirements.holdersAsked = true;
+    PromptPartHolders found = co_await places_.findPartHolders(run_.call.prompt);
+    std::ranges::move(found.holders, std::back_inserter(requirements.holders));
+    requirements.beginners = std::move(found.beginners);
+    co_return !requirements.holders.empty();
 }
 
-// A server that couldn't be reached may have been restarted. Only the first trial says so: if each
-// did, one that is refused as the server is cold would keep it cold.
+// A server that couldn't be reached may have been restarted. Only the first trial marks it as just
+// started: otherwise each trial, even one refused because the server is cold, would keep it cold.
 void RequestRun::noteTrial(const forward::Choice &choice)
 {
     forward::ColdStarts &starts = run_.fleetView.coldStarts();
     const kernel::Instant now = run_.context.now();
-    if (choice.trial && !starts.startedWithin(choice.server.hash(), StartOnce, now)) {
+    if (choice.trial && !starts.startedWithin(choice.server.hash(), MinRestartInterval, now)) {
         starts.noteStarted(choice.server.hash(), now);
     }
 }
 
-// Gives false if another server has to be chosen, which \a wish then leads to.
-asio::awaitable<bool> RequestRun::takePlace(forward::Wish &wish, forward::Choice &choice)
+// Returns false if another server has to be chosen; \a requirements then excludes this one.
+asio::awaitable<bool> RequestRun::takePlace(forward::Wish &requirements, forward::Choice &choice)
 {
     forward::ListedServer asked = choice.server;
-    if (wish.prompt == nullptr) {
-        // Asked also for one that this box takes for warm: its owner may know better.
+    if (requirements.prompt == nullptr) {
+        // The owner is asked even if this box considers the server warm, because it may know more.
         bool granted = true;
         if (run_.fleetView.coldStarts().bounded(run_.service)) {
             granted = co_await places_.acquireColdSend(std::move(asked));
         }
         if (!granted) {
-            barCold(wish, choice.server.id);
+            excludeCold(requirements, choice.server.id);
         }
         co_return granted;
     }
     const std::uint64_t partsKey = forward::sharedPartsKey(run_.call.prompt);
     PlaceOutcome outcome = co_await places_.acquire(std::move(asked), partsKey);
     run_.place = outcome.place;
-    std::ranges::move(outcome.holders, std::back_inserter(wish.holders));
+    std::ranges::move(outcome.holders, std::back_inserter(requirements.holders));
     if (outcome.cold) {
-        barCold(wish, choice.server.id);
+        excludeCold(requirements, choice.server.id);
         co_return false;
     }
-    if (run_.place || wish.spread) {
-        co_await settleParts(wish, choice);
+    if (run_.place || requirements.spread) {
+        co_await assignPartSource(requirements, choice);
         co_return true;
     }
-    wish.full.push_back(choice.server.id);
-    wish.spread = wish.full.size() >= MostAsks;
+    requirements.full.push_back(choice.server.id);
+    requirements.spread = requirements.full.size() >= MaxOwnersAsked;
     co_return false;
 }
 
-// After some cold servers that take no more, a warm one: each further ask would cost a message and
-// time.
-void RequestRun::barCold(forward::Wish &wish, const std::string &id)
+// After several cold servers that accept no more requests, excludes all cold ones: each further
+// query would cost a message and time.
+void RequestRun::excludeCold(forward::Wish &requirements, const std::string &id)
 {
-    wish.barred.push_back(id);
-    if (wish.barred.size() < MostAsks) {
+    requirements.barred.push_back(id);
+    if (requirements.barred.size() < MaxOwnersAsked) {
         return;
     }
     const kernel::Instant now = run_.context.now();
     run_.fleetView.servers().forEach([&](const forward::ListedServer &server) {
         if (run_.fleetView.coldStarts().state(server, now).cold()) {
-            wish.barred.push_back(server.id);
+            requirements.barred.push_back(server.id);
         }
     });
 }
 
-// The server is chosen: what the owners said of the prompt's parts decides where it takes them
-// from, and those who ask for them next hear of it.
-asio::awaitable<void> RequestRun::settleParts(forward::Wish &wish, forward::Choice &choice)
+// The server is chosen. Determines from the owners' answers which engine it copies the prompt's
+// parts from, and reports the parts' new location for later requests.
+asio::awaitable<void> RequestRun::assignPartSource(forward::Wish &requirements,
+                                                   forward::Choice &choice)
 {
     forward::ServerBook &servers = run_.fleetView.servers();
-    servers.settleSource(wish, choice, run_.context.now());
-    const bool learned = co_await learnHolders(wish, choice);
+    servers.settleSource(requirements, choice, run_.context.now());
+    const bool learned = co_await learnHolders(requirements, choice);
     if (learned) {
-        servers.settleSource(wish, choice, run_.context.now());
+        servers.settleSource(requirements, choice, run_.context.now());
     }
-    const auto first = servers.firstFor(wish);
+    const auto first = servers.firstFor(requirements);
     if (first && first->id != choice.server.id) {
         places_.reportHolder(*first, choice.server, forward::sharedPartsKey(run_.call.prompt));
     }
@@ -336,7 +344,7 @@
     }
 }
 
-void RequestRun::givePlaceBack()
+void RequestRun::releasePlace()
 {
     if (run_.place) {
         places_.giveBack(*run_.place);
@@ -347,10 +355,10 @@
 bool RequestRun::mayTryAgain(AttemptEnd end)
 {
     if (end == AttemptEnd::Unsent) {
-        return run_.counts.unsent < MostUnsent;
+        return run_.counts.unsent < MaxUnsent;
     }
     const bool ranOut =
-            run_.counts.sends >= run_.route.mostAttempts || run_.counts.rejected > MostRejections;
+            run_.counts.sends >= run_.route.mostAttempts || run_.counts.rejected > MaxRejections;
     if (ranOut || (run_.counts.sends > 0 && !run_.repeatable())) {
         return false;
     }
@@ -364,15 +372,15 @@
 asio::awaitable<AttemptEnd> RequestRun::attempt()
 {
     BackendExchange exchange(run_, pool_);
-    // Before, as a kept connection that was found sound is to be used at once; and once more, as
-    // the process may stand still while a new one is made.
+    // Called before connecting, because a pooled connection should be used as soon as it is
+    // checked, and again after it, because the process may stall while a connection is opened.
     co_await run_.fleetView.catchUp();
     const bool connected = co_await exchange.connect();
     co_await run_.fleetView.catchUp();
     if (!connected || run_.stopped()) {
         co_return AttemptEnd::Unsent;
     }
-    // Time has passed: the key, the server and the deadline are looked at once more.
+    // Time has passed since the choice: checks the key, the server and the deadline again.
     if (auto refusal = checkKey()) {
         exchange.returnUnused();
         if (run_.counts.sends > 0) {
@@ -383,10 +391,11 @@
         co_await refuse(std::move(*refusal));
         co_return AttemptEnd::Answered;
     }
-    // Since it was chosen the server may have left or asked for rest, or its hall been drained.
-    const bool takesIt = run_.fleetView.servers().mayBeSent(run_.choice.server, run_.context.now());
-    const bool maySend = takesIt && run_.guard.mayBeSent();
-    if (!maySend || run_.left() < LeastLeft) {
+    // Since it was chosen, the server may have begun to shut down or asked for backoff, or its hall
+    // may have been drained.
+    const bool accepts = run_.fleetView.servers().mayBeSent(run_.choice.server, run_.context.now());
+    const bool maySend = accepts && run_.guard.mayBeSent();
+    if (!maySend || run_.left() < MinTimeLeft) {
         exchange.returnUnused();
         co_return AttemptEnd::Unsent;
     }
@@ -404,7 +413,7 @@
         co_return;
     }
     if (run_.reply.begun()) {
-        // The end of the connection without the end of the answer shows the caller the cut.
+        // Closing the connection without ending the answer tells the caller that it is incomplete.
         run_.context.counters.add("results", {{"kind", "stream"}, {"code", "stream-cut"}});
         logEnd(run_, "stream-cut", run_.lastMessage);
         run_.reply.closeAfter();
@@ -422,7 +431,7 @@
     if (run_.counts.sends > 0) {
         const bool late = reason == Interruption::Deadline;
         refusal = {late ? ResultCode::AnswerLost : ResultCode::BackendFailed, run_.lastMessage};
-    } else if (allRest_) {
+    } else if (allInBackoff_) {
         refusal = {ResultCode::ServersRest, AllRest, true};
     } else if (run_.counts.rejected > 0) {
         refusal.code = ResultCode::BackendRefused;
@@ -437,16 +446,16 @@
     const outcome::ResultInfo &info = outcome::info(refusal.code);
     run_.context.counters.add("results", {{"kind", "refused"}, {"code", std::string(info.name)}});
     logEnd(run_, info.name, refusal.message);
-    kernel::Duration comeBack{};
-    if (refusal.comeBackIn > 0s) {
-        comeBack = refusal.comeBackIn;
-    } else if (refusal.comeBack) {
-        comeBack = std::clamp<kernel::Duration>(run_.route.objective / 4, 50ms, 500ms);
+    kernel::Duration retryAfter{};
+    if (refusal.retryDelay > 0s) {
+        retryAfter = refusal.retryDelay;
+    } else if (refusal.retryLater) {
+        retryAfter = std::clamp<kernel::Duration>(run_.route.objective / 4, 50ms, 500ms);
     }
-    services::Refusal told = services::refusalOf(refusal.code, refusal.message, comeBack);
+    services::Refusal answered = services::refusalOf(refusal.code, refusal.message, retryAfter);
     http::Answer answer(info.httpStatus,
-                        run_.fleetView.adapter().dialect.refusalFields(run_.call.id, comeBack),
-                        services::refusalJson(run_.call.id, told));
+                        run_.fleetView.adapter().dialect.refusalFields(run_.call.id, retryAfter),
+                        services::refusalJson(run_.call.id, answered));
     answer.fields.add("Content-Type", "application/json");
     co_await run_.reply.send(std::move(answer));
 }
--- a/src/gateway/RequestRun.h
+++ b/src/gateway/RequestRun.h
@@ -1,10 +1,10 @@
 /** \file
- * The way of one request through a gateway: admitted, sent to a backend server, its answer passed
- * back; sent again or resumed elsewhere where that is allowed; given up with the truth about
- * whether it ran.
+ * Serves one request in a gateway: admits it, sends it to a backend server and forwards the answer.
+ * Where that is allowed it retries the request or resumes it at another server. If it gives up, its
+ * answer says whether the request may have run.
  *
- * Three things can end it from outside: the deadline, the caller who leaves, and a server that
- * falls silent (RunState.h, Interrupt).
+ * Three things can interrupt a run: the deadline, a caller that disconnects, and a server that
+ * stops answering (RunState.h, Interrupt).
  */
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace limereel::gateway {
 
-/** One request. Lives until serve() is over. */
+/** Serves one request. Must live until serve() has returned. */
 class RequestRun
 {
 public:
@@ -31,13 +31,13 @@
     boost::asio::awaitable<void> serve();
 
 private:
-    /** A refusal or failure that the caller is told. */
+    /** A refusal or failure that is sent to the caller. */
     struct Refusal
     {
         outcome::ResultCode code;
         std::string message;
-        bool comeBack = false;
-        kernel::Duration comeBackIn{}; ///< Zero: as the route's objective suggests.
+        bool retryLater = false;
+        kernel::Duration retryDelay{}; ///< Zero: derived from the route's objective.
     };
 
     std::optional<Refusal> admit();
@@ -45,16 +45,18 @@
     void armTimers();
 
     boost::asio::awaitable<void> runAttempts();
-    boost::asio::awaitable<std::optional<Refusal>> takeLeave();
+    boost::asio::awaitable<std::optional<Refusal>> acquireSendPermission();
     boost::asio::awaitable<void> noteEnd(AttemptEnd end);
     boost::asio::awaitable<std::optional<forward::Choice>> chooseServer();
-    boost::asio::awaitable<bool> takePlace(forward::Wish &wish, forward::Choice &choice);
-    boost::asio::awaitable<bool> learnHolders(forward::Wish &wish, const forward::Choice &choice);
+    boost::asio::awaitable<bool> takePlace(forward::Wish &requirements, forward::Choice &choice);
+    boost::asio::awaitable<bool> learnHolders(forward::Wish &requirements,
+                                              const forward::Choice &choice);
     void noteTrial(const forward::Choice &choice);
-    void noteNoServer(const forward::Wish &wish);
-    void barCold(forward::Wish &wish, const std::string &id);
-    boost::asio::awaitable<void> settleParts(forward::Wish &wish, forward::Choice &choice);
-    void givePlaceBack();
+    void noteNoServer(const forward::Wish &requirements);
+    void excludeCold(forward::Wish &requirements, const std::string &id);
+    boost::asio::awaitable<void> assignPartSource(forward::Wish &requirements,
+                                                  forward::Choice &choice);
+    void releasePlace();
     boost::asio::awaitable<AttemptEnd> attempt();
     bool mayTryAgain(AttemptEnd end);
 
@@ -65,8 +67,8 @@
     ConnectionPool &pool_;
     PlaceService &places_;
     http::AnswerTimer deadlineTimer_;
-    std::vector<std::string> tried_; ///< Servers that are not chosen again.
-    bool allRest_ = false;           ///< No server could be chosen, as all rest.
+    std::vector<std::string> tried_; ///< Servers already tried; they aren't chosen again.
+    bool allInBackoff_ = false;      ///< No server could be chosen because all are in backoff.
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/RunLog.cpp
+++ b/src/gateway/RunLog.cpp
@@ -14,7 +14,7 @@
     return Log;
 }
 
-// Milliseconds since \a moment; -1 if it hasn't come.
+// Milliseconds since \a moment; -1 if it is empty.
 std::int64_t millisecondsSince(const std::optional<kernel::Instant> &moment, kernel::Instant now)
 {
     return moment ? (now - *moment) / 1ms : -1;
@@ -36,8 +36,8 @@
             {"config", run.fleetView.snapshot()->version()},
             {"config_age_ms", age ? *age / 1ms : -1}};
     const forward::ServerBook &servers = run.fleetView.servers();
-    if (const auto rest = servers.restLeft(run.choice.server.id, now); rest > 0s) {
-        fields["rest_left_ms"] = rest / 1ms;
+    if (const auto backoffLeft = servers.restLeft(run.choice.server.id, now); backoffLeft > 0s) {
+        fields["rest_left_ms"] = backoffLeft / 1ms;
     }
     if (const auto full = servers.fullLeft(run.choice.server.id, now); full > 0s) {
         fields["full_left_ms"] = full / 1ms;
@@ -96,23 +96,23 @@
                  {"server", run.choice.server.id},
                  {"listed", listed.has_value()},
                  {"own_load", run.fleetView.servers().ownLoadAt(run.choice.server.id)}},
-                "A backend server says itself that it leaves; it gets nothing new.");
+                "A backend server announces its shutdown; it gets no new requests.");
 }
 
-void logRestUnreadable(const RunState &run)
+void logBackoffUnreadable(const RunState &run)
 {
     log().event("rest-unreadable", {{"request", run.call.id}, {"server", run.choice.server.id}},
                 "A backend server asks for rest in a way that can't be read.");
 }
 
-void logSendDenied(RunState &run, const services::SendLeave &leave)
+void logSendDenied(RunState &run, const services::SendLeave &permission)
 {
     log().event("no-leave",
                 {{"request", run.call.id},
                  {"identity", forward::text(run.guard.identity())},
                  {"organisation", run.organisation},
-                 {"standing", text(leave.standing)},
-                 {"come_back_ms", leave.comeBack / 1ms},
+                 {"standing", text(permission.standing)},
+                 {"come_back_ms", permission.comeBack / 1ms},
                  {"sends", run.counts.sends}},
                 "The request isn't sent, as backend servers have ended under it.");
 }
@@ -133,7 +133,7 @@
     if (!why.empty()) {
         fields["why"] = why;
     }
-    log().event("ended", fields, "The request is over.");
+    log().event("ended", fields, "The request has ended.");
 }
 
 } // namespace limereel::gateway
--- a/src/gateway/RunLog.h
+++ b/src/gateway/RunLog.h
@@ -1,6 +1,6 @@
 /** \file
- * The lines that a request leaves in the log, with the inputs of each decision: an on-call engineer
- * gets from its id to what was known when it was sent, failed or ended.
+ * The log lines of a request, with the inputs of each decision, so that an on-call engineer can
+ * find by its id what was known when it was sent, failed or ended.
  */
 #pragma once
 
@@ -12,25 +12,25 @@
 
 namespace limereel::gateway {
 
-/** The request goes to the chosen server. */
+/** Logs that the request is sent to the chosen server. */
 void logSend(const RunState &run);
 
-/** An attempt failed. \param sent whether anything had left for the server. */
+/** Logs that an attempt failed. \param sent whether anything had been sent to the server. */
 void logFailure(RunState &run, forward::Failure failure, const std::string &message, bool sent);
 
-/** The server of the attempt asks this box for rest. */
+/** Logs that the server of the attempt asks this box for backoff ("rest" in the log). */
 void logBackoffRequested(const RunState &run, kernel::Duration asked);
 
-/** The server of the attempt says that it leaves. */
+/** Logs that the server of the attempt announces its shutdown. */
 void logLeaving(const RunState &run);
 
-/** It asks for rest in a way that can't be read. */
-void logRestUnreadable(const RunState &run);
+/** Logs that the server asks for backoff in a format that can't be parsed. */
+void logBackoffUnreadable(const RunState &run);
 
-/** The request isn't sent, as backend servers have ended under it. */
-void logSendDenied(RunState &run, const services::SendLeave &leave);
+/** Logs that the request isn't sent because backend servers crashed while running it. */
+void logSendDenied(RunState &run, const services::SendLeave &permission);
 
-/** The request is over. */
+/** Logs the end of the request. */
 void logEnd(const RunState &run, std::string_view result, const std::string &why = {});
 
 } // namespace limereel::gateway
--- a/src/gateway/RunState.cpp
+++ b/src/gateway/RunState.cpp
@@ -4,7 +4,7 @@
 
 void Interrupt::end(Interruption why)
 {
-    // Silence ends only an attempt; what ends the run goes before it.
+    // Silence ends only an attempt, so any reason that ends the run replaces it.
     if (reason == Interruption::None || reason == Interruption::Silent) {
         reason = why;
     }
--- a/src/gateway/RunState.h
+++ b/src/gateway/RunState.h
@@ -1,6 +1,6 @@
 /** \file
- * What is known of one request while a gateway runs it: what the caller asked for, what was tried,
- * what the caller has already got. Shared by the parts that carry it out.
+ * The state of one request while a gateway runs it: what the caller asked for, which attempts were
+ * made, and what the caller has already received. Shared by the classes that run the request.
  */
 #pragma once
 
@@ -17,41 +17,41 @@
 
 namespace limereel::gateway {
 
-/** Why a run was ended from outside. */
+/** Why a run was interrupted. */
 enum class Interruption : std::uint8_t { None, Deadline, CallerLeft, Silent };
 
-/** Ends a run from outside. Timers and the caller's connection hold it, and may outlive the run. */
+/** Interrupts a run. Timers and the caller's connection hold it and may outlive the run. */
 struct Interrupt
 {
     Interruption reason = Interruption::None;
-    http::KeptConnection::Ptr connection; ///< To the backend server, while one is in use.
+    http::KeptConnection::Ptr connection; ///< The one to the backend server, while it is in use.
     bool ended = false;                   ///< The run has ended.
 
-    /** Ends what runs: the reading of the backend server's answer fails. */
+    /** Closes the connection to the backend server, so that reading its answer fails. */
     void end(Interruption why);
 };
 
 /** How an attempt ended. */
 enum class AttemptEnd : std::uint8_t {
-    Answered,  ///< The caller has its answer, or is gone.
+    Answered,  ///< The caller has received its answer or has disconnected.
     Unsent,    ///< Nothing was sent.
-    Rejected,  ///< The server said that it didn't run the request.
-    MayHaveRun ///< Anything else.
+    Rejected,  ///< The server answered that it didn't run the request.
+    MayHaveRun ///< Any other end; the request may have run.
 };
 
-/** The attempts of a run by their ends. */
+/** The attempts of a run, counted by how they ended. */
 struct AttemptCounts
 {
-    std::uint32_t sends = 0;    ///< That may have run.
-    std::uint32_t rejected = 0; ///< That a server rejected.
-    std::uint32_t unsent = 0;   ///< Of which nothing left.
+    std::uint32_t sends = 0;    ///< Attempts that may have run.
+    std::uint32_t rejected = 0; ///< Attempts that a server rejected.
+    std::uint32_t unsent = 0;   ///< Attempts of which nothing was sent.
 
     void add(AttemptEnd end);
     std::uint32_t all() const { return sends + rejected + unsent; }
     auto operator<=>(const AttemptCounts &) const = default;
 };
 
-/** One request on its way. */
+/** One request while it is being served. */
 struct RunState
 {
     RunState(services::Context &context, FleetView &fleetView, http::Request request,
@@ -66,41 +66,41 @@
     forward::Route route;
     std::string service;
     std::string organisation;
-    std::vector<std::string> regions; ///< Where it may run; empty: anywhere.
+    std::vector<std::string> regions; ///< Regions in which it may run; empty: any region.
     std::optional<std::uint32_t> priority;
-    bool movesParts = false; ///< Servers of the service take prompt parts from each other.
+    bool movesParts = false; ///< Servers of the service copy cached prompt parts from each other.
     kernel::Instant began;
     kernel::Instant deadline;
-    services::CrashGuard guard; ///< Knows the request once it has been admitted.
+    services::CrashGuard guard; ///< Tracks the request from its admission on.
     std::shared_ptr<Interrupt> interrupt = std::make_shared<Interrupt>();
 
     forward::Choice choice;                    ///< The server of this attempt.
-    std::optional<kernel::Instant> sentAt;     ///< Of this attempt; nothing: not yet.
-    std::optional<kernel::Instant> firstPiece; ///< When it brought the first piece of an answer.
-    std::optional<forward::Failure> failure;   ///< Of this attempt.
-    bool answeredWhole = false;                ///< Its server has sent a whole answer.
+    std::optional<kernel::Instant> sentAt;     ///< When this attempt was sent; empty before that.
+    std::optional<kernel::Instant> firstPiece; ///< When this attempt's answer began to arrive.
+    std::optional<forward::Failure> failure;   ///< How this attempt failed.
+    bool answeredWhole = false; ///< The server of this attempt has sent a complete answer.
 
-    std::optional<Place> place; ///< There.
+    std::optional<Place> place; ///< The place at the server of this attempt.
     AttemptCounts counts;
     std::string lastMessage;
-    std::optional<http::Answer> failedAnswer; ///< A backend server's own failure, whole.
-    std::optional<std::uint64_t> lastEvent;   ///< The last one that the caller has.
+    std::optional<http::Answer> failedAnswer; ///< A complete error answer of a backend server.
+    std::optional<std::uint64_t> lastEvent;   ///< Id of the last event that the caller has.
 
     kernel::Duration left() const { return deadline - context.now(); }
     bool stopped() const { return interrupt->reason != Interruption::None; }
     bool repeatable() const { return route.repeatability != forward::Repeatability::Once; }
 
-    /** Forgets what is known of the attempt before. */
+    /** Resets the state of the previous attempt. */
     void beginAttempt();
 
-    /** A piece of the attempt's answer has come. */
+    /** Records that bytes of the attempt's answer have arrived. */
     void notePiece();
 
-    /** The prompt, where its parts matter for the choice of a server; else nullptr. */
+    /** The prompt if its parts matter for the choice of a server; else nullptr. */
     const forward::Prompt *prompt() const;
 };
 
-/** Whether \a status promises the caller that its request did not run. */
+/** Whether the HTTP status \a status tells the caller that its request did not run. */
 bool promisesNotRun(int status);
 
 } // namespace limereel::gateway
--- a/test/correctness/ConnectionPoolTest.cpp
+++ b/test/correctness/ConnectionPoolTest.cpp
@@ -1,9 +1,9 @@
-// An idle connection that was taken and given back unused counted as fresh.
+// Tests ConnectionPool.
 //
-// Found by reading, after a caller's request had been lost to a time limit; no record shows it. A
-// run takes a connection, finds that the request may not be sent any more, and gives it back. It
-// then counted as just used, so that a once-only request could go out on a connection that its
-// server was about to close, and nobody knew whether it ran.
+// Guards against idle connections that count as fresher than they are. A run may take a connection,
+// find that the request may no longer be sent, and return the connection unused. If it then counted
+// as just used, a request that must run only once could be sent on a connection that its server is
+// about to close, and it would be unknown whether the request ran.
 
 #include "gateway/ConnectionPool.h"
 #include "http/Server.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** A pool on a clock of the test's, and a server that answers. */
+/** A pool with a simulated clock, and a server that answers. */
 struct PoolFixture
 {
     PoolFixture()
@@ -45,7 +45,7 @@
         done = true;
     }
 
-    /** Connects, and makes an exchange after which the connection may be kept. */
+    /** Connects and completes one exchange, after which the connection can be reused. */
     void useOnce()
     {
         asio::co_spawn(io, exchange(), asio::detached);
@@ -68,7 +68,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ConnectionPoolTest, PoolFixture)
 
-BOOST_AUTO_TEST_CASE(connection_givenBackUnused_isNoFresherThanBefore)
+BOOST_AUTO_TEST_CASE(connection_returnedUnused_keepsItsIdleTime)
 {
     useOnce();
     pool.returnUsed(listed, connection, std::nullopt, 0ms);
@@ -81,7 +81,7 @@
     BOOST_TEST(pool.take(listed, false).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(connection_givenBackUnused_isKeptAsLongAsItsServerSaid)
+BOOST_AUTO_TEST_CASE(connection_returnedUnused_isKeptAsLongAsItsServerAnnounced)
 {
     useOnce();
     pool.returnUsed(listed, connection, 10s, 0ms);
@@ -93,7 +93,7 @@
     BOOST_TEST(pool.take(listed, true).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(connection_givenBackUnused_endsWhenItWouldHave)
+BOOST_AUTO_TEST_CASE(connection_returnedUnused_expiresAsBefore)
 {
     useOnce();
     pool.returnUsed(listed, connection, 10s, 0ms);
@@ -105,10 +105,8 @@
     BOOST_TEST(!pool.take(listed, false).has_value());
 }
 
-// Found by reading as well: the rest counted from when the answer was handled. Its server counts
-// from when the answer left, and the answer may have lain unread for long.
-// One connection that had rested fell silent: those that rested beside it aren't offered any more,
-// one that has brought an answer since is.
+// After a request on an idle connection got no answer, connections that were idle at the same time
+// are no longer offered; one that has received an answer since then is.
 BOOST_AUTO_TEST_CASE(connection_anotherOneFellSilent_isOfferedOnlyIfItHasAnsweredSince)
 {
     useOnce();
@@ -128,7 +126,9 @@
     BOOST_TEST(context.counters.value("connections_doubted") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(connection_answerLayUnread_restCountsFromItsArrival)
+// The idle time must count from the arrival of the answer, not from when it was read: the server
+// counts from when it sent the answer, which may have been unread for long.
+BOOST_AUTO_TEST_CASE(connection_answerWasUnread_idleTimeCountsFromItsArrival)
 {
     useOnce();
     pool.returnUsed(listed, connection, 2s, 1400ms);
@@ -140,7 +140,7 @@
     BOOST_TEST(!pool.take(listed, false).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(connection_answerLayUnreadAndServerSaidNothing_isNotSurelyOpen)
+BOOST_AUTO_TEST_CASE(connection_answerWasUnreadAndServerAnnouncedNothing_isNotSurelyOpen)
 {
     useOnce();
     pool.returnUsed(listed, connection, std::nullopt, 1100ms);
@@ -148,7 +148,7 @@
     BOOST_TEST(pool.take(listed, false).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(connection_answerLayUnreadForTheWholeRest_isClosed)
+BOOST_AUTO_TEST_CASE(connection_answerWasUnreadForTheWholeIdleTime_isClosed)
 {
     useOnce();
     pool.returnUsed(listed, connection, 2s, 1500ms);
