--- a/src/gateway/Adapter.h
+++ b/src/gateway/Adapter.h
@@ -1,6 +1,6 @@
 /** \file
- * All that a gateway needs to run on one platform: the dialect of callers and backend servers, the
- * interface of the store, and the readers of what lies there.
+ * All that a gateway needs to run on one platform: the HTTP dialect of callers and backend servers,
+ * the interface of the store, and the parsers of the objects in it.
  */
 #pragma once
 
@@ -14,24 +14,24 @@
 
 namespace limereel::gateway {
 
-/** One platform. */
+/** The platform-specific part of a gateway. */
 struct Adapter
 {
     forward::Dialect dialect;
     store::ObjectFormat store;
 
-    std::string configurationKind; ///< Of the object that holds the configuration.
+    std::string configurationKind; ///< Kind of the object that holds the configuration.
     std::string configurationName;
-    std::string serverKind;    ///< Of the objects in which backend servers record themselves.
-    std::string crashKind;     ///< Of the objects that keep stopped requests; the system's own.
-    std::string hallDrainKind; ///< Of the objects by which the operator drains halls.
+    std::string serverKind; ///< Kind of the objects by which backend servers register.
+    std::string crashKind; ///< Kind of the objects that hold stopped requests; written by gateways.
+    std::string hallDrainKind; ///< Kind of the objects by which the operator drains halls.
 
     std::function<tl::expected<forward::SnapshotContent, std::string>(const nlohmann::json &)>
             readConfiguration;
     std::function<tl::expected<forward::ServerEntry, std::string>(const store::StoredObject &)>
             readServer;
 
-    /** The hall that is to be drained. */
+    /** Returns the hall that the object drains. */
     std::function<tl::expected<std::string, std::string>(const store::StoredObject &)>
             readHallDrain;
 };
--- a/src/gateway/CrashStore.cpp
+++ b/src/gateway/CrashStore.cpp
@@ -18,13 +18,13 @@
 constexpr int Created = 201;
 constexpr int NotFound = 404;
 constexpr int Conflict = 409;
-constexpr kernel::Duration ConnectWait = 1s;
-constexpr AnswerWait LongestAnswer = {2s, 2s, 5s};
-constexpr kernel::Duration LongestLookUp = 300ms;
-constexpr kernel::Duration LookEvery = 2s;
+constexpr kernel::Duration ConnectTimeout = 1s;
+constexpr AnswerWait AnswerTimeouts = {2s, 2s, 5s};
+constexpr kernel::Duration LookUpTimeout = 300ms;
+constexpr kernel::Duration CheckInterval = 2s;
 constexpr kernel::Duration FirstPause = 500ms;
-constexpr kernel::Duration LongestPause = 8s;
-// Those that start together don't ask in the same moment.
+constexpr kernel::Duration MaxPause = 8s;
+// Spreads the first calls of boxes that start together.
 constexpr std::int64_t StartSpreadMs = 300;
 
 const kernel::Log &log()
@@ -40,7 +40,7 @@
             {"failed_trials", record.failedTrials}};
 }
 
-// Throws what nlohmann-json throws where anything isn't as contentOf() writes it.
+// Throws nlohmann::json::exception if the content isn't as contentOf() writes it.
 CrashRecord recordFrom(const RequestIdentity &request, const json &content)
 {
     CrashRecord record{.request = request};
@@ -59,7 +59,7 @@
     , adapter_(adapter)
     , crashes_(crashes)
     , connection_(context, "crash-store")
-    , backoff_(FirstPause, LongestPause)
+    , backoff_(FirstPause, MaxPause)
 {
 }
 
@@ -95,7 +95,7 @@
 
 asio::awaitable<kernel::Duration> CrashStore::round()
 {
-    if (!isRead_ && after_.empty() && backoff_.failures() == 0) {
+    if (!fullyRead_ && lastName_.empty() && backoff_.failures() == 0) {
         asio::steady_timer spread(
                 context_.io, 1ms * static_cast<std::int64_t>(context_.random() % StartSpreadMs));
         co_await spread.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -105,7 +105,7 @@
     connection_.close();
     if (read && written) {
         backoff_.succeed();
-        co_return LookEvery;
+        co_return CheckInterval;
     }
     co_return backoff_.fail(context_.random);
 }
@@ -113,7 +113,7 @@
 asio::awaitable<tl::expected<http::Answer, std::string>> CrashStore::ask(http::Request request)
 {
     const kernel::Endpoint where = context_.settings.platform;
-    const auto opened = co_await connection_.open(where, ConnectWait);
+    const auto opened = co_await connection_.open(where, ConnectTimeout);
     if (!opened) {
         co_return tl::unexpected(opened.error());
     }
@@ -122,15 +122,15 @@
         request.fields.add("Content-Type", "application/json");
     }
     context_.counters.add("store_calls", {{"kind", adapter_.crashKind}});
-    auto answer = co_await connection_.ask(std::move(request), LongestAnswer);
+    auto answer = co_await connection_.ask(std::move(request), AnswerTimeouts);
     co_return answer;
 }
 
-// Gives false if something is left to be read.
+// Returns false if something remains to be read.
 asio::awaitable<bool> CrashStore::read()
 {
-    while (!isRead_) {
-        std::string target = adapter_.store.listTarget(adapter_.crashKind, after_);
+    while (!fullyRead_) {
+        std::string target = adapter_.store.listTarget(adapter_.crashKind, lastName_);
         http::Request request("GET", std::move(target));
         const auto answer = co_await ask(std::move(request));
         if (!answer || answer->status != Good) {
@@ -144,21 +144,22 @@
         }
         for (const store::StoredObject &object : page->objects) {
             takeObject(object);
-            after_ = object.name;
+            lastName_ = object.name;
         }
-        isRead_ = !page->more || page->objects.empty();
+        fullyRead_ = !page->more || page->objects.empty();
     }
     co_return true;
 }
 
-// Without the store's word the request goes by what this box knows.
+// Reads the record of one request. If the store doesn't answer, the decision rests on what this box
+// knows.
 asio::awaitable<void> CrashStore::lookUp(RequestIdentity request)
 {
     const std::string name = forward::text(request);
     http::Request question("GET", adapter_.store.objectTarget(adapter_.crashKind, name));
     question.fields.add("Host", kernel::text(context_.settings.platform));
     context_.counters.add("store_calls", {{"kind", adapter_.crashKind}});
-    const http::CallTimeouts quick{LongestLookUp, LongestLookUp, LongestLookUp};
+    const http::CallTimeouts quick{LookUpTimeout, LookUpTimeout, LookUpTimeout};
     const auto answer = co_await http::call(context_.io, context_.settings.platform,
                                             std::move(question), quick);
     if (!answer || (answer->status != Good && answer->status != NotFound)) {
@@ -182,13 +183,13 @@
             return;
         }
     } catch (const json::exception &) {
-        // Counted below with those whose names can't be read.
+        // Counted below together with objects whose names can't be parsed.
     }
     context_.counters.add("objects_unreadable", {{"kind", adapter_.crashKind}});
     log().event("unreadable", {{"name", object.name}}, "A stopped request can't be read.");
 }
 
-// Gives false if something is left to be written.
+// Returns false if something remains to be written.
 asio::awaitable<bool> CrashStore::write()
 {
     std::vector<CrashRecord> due;
@@ -220,7 +221,7 @@
     http::Request request("POST", adapter_.store.listTarget(kind, ""), {}, body.dump());
     auto answer = co_await ask(std::move(request));
     if (answer && answer->status == Conflict) {
-        // It is there already: what both say is written over what was read.
+        // The object exists already: replaces it with the merged record.
         const auto there = adapter_.store.readObject(json::parse(answer->body, nullptr, false));
         if (there) {
             takeObject(*there);
@@ -239,7 +240,7 @@
         co_return false;
     }
     saved_[record.request] = record;
-    log().event("saved", {{"identity", name}}, "A stopped request lies in the store.");
+    log().event("saved", {{"identity", name}}, "A stopped request has been written to the store.");
     co_return true;
 }
 
--- a/src/gateway/CrashStore.h
+++ b/src/gateway/CrashStore.h
@@ -1,11 +1,12 @@
 /** \file
- * Keeps stopped requests in the platform's store, since no box has anything that outlasts its
- * process: when all boxes have lost power at once, the first ones that are back know them.
+ * Keeps stopped requests, which are blocked because backend servers crashed while running them, in
+ * the platform's store. A box has no storage that outlasts its process; after a power loss of all
+ * boxes, the first ones to restart read the stopped requests from the store.
  *
- * A box reads them once, at its start, and hears of changes from other boxes. The owner of such a
- * request writes it, when it is stopped and again when it is tried in vain. Before a request runs
- * alone its object is asked for: boxes that are cut off from those that stopped it learn so. A few
- * calls a day.
+ * A box reads them once, at its start, and learns changes from other boxes. The owner of such a
+ * request writes it when it is stopped and again when a trial of it fails. Before a request runs
+ * alone, its object is read from the store, so that a box which is cut off from those that stopped
+ * the request still learns of it. This takes a few calls a day.
  */
 #pragma once
 
@@ -21,7 +22,7 @@
 
 namespace limereel::gateway {
 
-/** The service. */
+/** Reads stopped requests from the store and writes them there. */
 class CrashStore : public kernel::Service
 {
 public:
@@ -48,9 +49,9 @@
     services::CrashService &crashes_;
     FeedConnection connection_;
     store::Backoff backoff_;
-    bool isRead_ = false;
-    std::string after_; ///< The last name that was read.
-    std::map<forward::RequestIdentity, forward::CrashRecord> saved_; ///< As the store has them.
+    bool fullyRead_ = false;
+    std::string lastName_; ///< Name of the last object that was read.
+    std::map<forward::RequestIdentity, forward::CrashRecord> saved_; ///< Records in the store.
     std::set<forward::RequestIdentity> toRemove_;
     std::unique_ptr<services::Repeat> loop_;
 };
--- a/src/gateway/FeedConnection.cpp
+++ b/src/gateway/FeedConnection.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t MostAnswerBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t MaxAnswerBytes = std::size_t{64} * 1024 * 1024;
 
 } // namespace
 
@@ -34,14 +34,14 @@
 }
 
 asio::awaitable<tl::expected<void, std::string>> FeedConnection::open(kernel::Endpoint where,
-                                                                      kernel::Duration longest)
+                                                                      kernel::Duration timeout)
 {
     const bool usable = connection_ && connection_->reusable() && connection_->quiet();
     if (usable && where_ == where) {
         co_return tl::expected<void, std::string>();
     }
     connection_.reset();
-    auto connected = co_await http::KeptConnection::connect(context_.io, where, longest);
+    auto connected = co_await http::KeptConnection::connect(context_.io, where, timeout);
     if (!connected) {
         co_return tl::unexpected(connected.error().message);
     }
@@ -60,13 +60,13 @@
     if (!connection) {
         co_return tl::unexpected<std::string>("the connection was closed");
     }
-    // A standstill of this process is no loss of the other side.
+    // The timer doesn't count a stall of this process as a failure of the other side.
     http::AnswerTimer timer(context_.io, context_.counters, wait_);
     const kernel::Instant latest = context_.now() + wait.whole;
-    const auto waitFor = [&](kernel::Duration longest) {
+    const auto waitFor = [&](kernel::Duration timeout) {
         const kernel::Duration left = std::max<kernel::Duration>(latest - context_.now(), 0s);
         timer.start(
-                std::min(longest, left), [connection] { return connection->heard(); },
+                std::min(timeout, left), [connection] { return connection->heard(); },
                 [connection] { connection->close(); });
     };
     waitFor(wait.first);
@@ -77,7 +77,7 @@
     }
     http::Answer answer(head->status, {}, {});
     while (true) {
-        // What comes slowly is waited for: asked for again it would only come from its beginning.
+        // Waits on for a slow answer, because a repeated call would start it from the beginning.
         waitFor(wait.silence);
         auto part = co_await connection->readPart();
         if (!part) {
@@ -87,7 +87,7 @@
             co_return answer;
         }
         answer.body += *part;
-        if (answer.body.size() > MostAnswerBytes) {
+        if (answer.body.size() > MaxAnswerBytes) {
             connection->close();
             co_return tl::unexpected<std::string>("the answer is too long");
         }
--- a/src/gateway/FeedConnection.h
+++ b/src/gateway/FeedConnection.h
@@ -1,6 +1,6 @@
 /** \file
- * The connection of a feed to whoever it asks, the store or a relay: one call at a time, kept for
- * the next one.
+ * The connection of a feed to the server that it polls, the store or a relay: one call at a time;
+ * the connection is kept for the next call.
  */
 #pragma once
 
@@ -11,41 +11,41 @@
 
 namespace limereel::gateway {
 
-/** How long an answer is waited for. */
+/** Timeouts of an answer. */
 struct AnswerWait
 {
-    kernel::Duration first{};   ///< Until its head.
-    kernel::Duration silence{}; ///< Then between any two parts.
-    kernel::Duration whole{};   ///< Until its end.
+    kernel::Duration first{};   ///< Until its head has arrived.
+    kernel::Duration silence{}; ///< Between two parts of its body.
+    kernel::Duration whole{};   ///< Until its end has arrived.
 };
 
-/** The connection. */
+/** A persistent HTTP connection with timeouts. */
 class FeedConnection
 {
 public:
-    /** \param wait names the wait for its answers in the counters. */
+    /** \param wait the name of its timer in the counters. */
     FeedConnection(services::Context &context, std::string wait)
         : context_(context)
         , wait_(std::move(wait))
     {
     }
 
-    /** Connects to \a where within \a longest unless a good connection is there. The error says
-     * why there is none. */
+    /** Connects to \a where within \a timeout unless a usable connection is open. The error says
+     * why it failed. */
     boost::asio::awaitable<tl::expected<void, std::string>> open(kernel::Endpoint where,
-                                                                 kernel::Duration longest);
+                                                                 kernel::Duration timeout);
 
     /** Sends \a request on the open connection and reads the whole answer within \a wait. */
     boost::asio::awaitable<tl::expected<http::Answer, std::string>> ask(http::Request request,
                                                                         AnswerWait wait);
 
-    /** Ends the connection, and with it the call that runs. */
+    /** Closes the connection, which makes a running call fail. */
     void close();
 
-    /** Whether something lies unread. */
+    /** Whether bytes have arrived that aren't read yet. */
     bool unread() const;
 
-    /** How long ago its last bytes came; zero if it isn't open. */
+    /** Time since its last bytes arrived; zero if it isn't open. */
     kernel::Duration rested() const;
 
 private:
--- a/src/gateway/FeedPaces.cpp
+++ b/src/gateway/FeedPaces.cpp
@@ -8,55 +8,57 @@
 
 namespace {
 
-// Between the check of a key and the moment at which the backend server begins.
+// Time between the check of a key and the start of the request at the backend server.
 constexpr Duration RevokeMargin = 600ms;
 constexpr Duration ConfirmMargin = 400ms;
-constexpr Duration StoreAnswer = 900ms;
-constexpr Duration ServerWatch = 5s;
-// Changes are gathered for a part of the bound in which they must be known, but no longer than
+constexpr Duration StoreAnswerTimeout = 900ms;
+constexpr Duration ServerWatchTime = 5s;
+// Changes are collected for a fraction of the bound in which they must be known, but no longer than
 // this.
-constexpr Duration GatherAtMost = 1s;
-constexpr int GatherConfigurationsPart = 4;
-constexpr int GatherServersPart = 3;
-// From giving a silent store up to the answer of the next call.
-constexpr Duration AskAgain = 400ms;
-// Watches in a row that a confirmation must outlast: it counts from when its watch was asked.
+constexpr Duration MaxGatherTime = 1s;
+constexpr int GatherConfigurationsFraction = 4;
+constexpr int GatherServersFraction = 3;
+// Time from giving up on a silent store to the answer of the next call.
+constexpr Duration RetryMargin = 400ms;
+// Consecutive watches that a confirmation must outlast, because its age counts from the start of
+// its watch.
 constexpr int WatchesPerConfirmation = 2;
 
 Duration gatherFor(Duration bound, int part)
 {
-    return std::min<Duration>(GatherAtMost, bound / part);
+    return std::min<Duration>(MaxGatherTime, bound / part);
 }
 
-// A box that the store reaches again must know the newest version after the time of contact, so a
-// watch that a cut swallowed is given up by then. Confirmations of keys may need more than that.
+// A box that can reach the store again must know the newest version within the contact time, so a
+// watch whose connection was cut silently has to be given up by then. Confirmations of keys may
+// require shorter watches.
 FeedPace configurationPace(const GatewaySettings &settings)
 {
     FeedPace pace;
-    pace.answer = StoreAnswer;
-    pace.giveUpWithin = std::max<Duration>(settings.contact - AskAgain, settings.contact / 2);
+    pace.answer = StoreAnswerTimeout;
+    pace.giveUpWithin = std::max<Duration>(settings.contact - RetryMargin, settings.contact / 2);
     pace.wait = pace.giveUpWithin;
     if (settings.refuseUnconfirmedKeys) {
         pace.confirmWithin = usableFor(settings) - ConfirmMargin;
         pace.wait = pace.confirmWithin / WatchesPerConfirmation;
     }
-    pace.afterChange = gatherFor(settings.applyWithin, GatherConfigurationsPart);
+    pace.afterChange = gatherFor(settings.applyWithin, GatherConfigurationsFraction);
     return pace;
 }
 
 FeedPace serverPace(const GatewaySettings &settings)
 {
     FeedPace pace;
-    pace.wait = ServerWatch;
-    pace.giveUpWithin = std::max<Duration>(ServerWatch, settings.contact);
-    pace.answer = StoreAnswer;
-    pace.afterChange = gatherFor(settings.drainWithin, GatherServersPart);
+    pace.wait = ServerWatchTime;
+    pace.giveUpWithin = std::max<Duration>(ServerWatchTime, settings.contact);
+    pace.answer = StoreAnswerTimeout;
+    pace.afterChange = gatherFor(settings.drainWithin, GatherServersFraction);
     return pace;
 }
 
 } // namespace
 
-// Where unconfirmed keys are honoured, a confirmation that is overdue is only a sign.
+// If unconfirmed keys are honoured, an overdue confirmation is only reported.
 Duration usableFor(const GatewaySettings &settings)
 {
     if (!settings.refuseUnconfirmedKeys) {
@@ -73,7 +75,8 @@
             store::oldestHeard(usable)};
 }
 
-// A relay's list is as old as its confirmations: where these are late, so may leaving servers be.
+// A relay's list is as old as its last confirmation; if that is late, servers that are shutting
+// down may be missing from it, too.
 FeedPaces serverPaces(const GatewaySettings &settings)
 {
     const FeedPace alone = serverPace(settings);
@@ -81,21 +84,21 @@
             store::oldestHeard(settings.drainWithin)};
 }
 
-// A drained hall is news of a moment, and nothing hangs on how fresh the word is that there is
-// none. So watches are as long as the bound lets them be: one that falls silent, its wait for an
-// answer and a list fit into four fifths of it.
+// Only the drain of a hall has to be known in time; confirmations that there is none may be old. So
+// watches are as long as the bound allows: a silent watch, its answer timeout and a list fit into
+// four fifths of the bound.
 FeedPaces hallDrainPaces(const GatewaySettings &settings)
 {
-    const Duration left = settings.hallDrainWithin * 4 / 5 - 2 * StoreAnswer;
+    const Duration left = settings.hallDrainWithin * 4 / 5 - 2 * StoreAnswerTimeout;
     FeedPace pace;
-    pace.answer = StoreAnswer;
+    pace.answer = StoreAnswerTimeout;
     pace.wait = std::max<Duration>(left, settings.hallDrainWithin / 5);
     pace.giveUpWithin = pace.wait + pace.answer;
     FeedPaces paces;
     paces.alone = pace;
     paces.relaying = store::relayPace(pace, {0s, settings.hallDrainWithin});
     paces.oldestHeard = settings.hallDrainWithin;
-    // A box that has just started owes the bound only from the time of contact on.
+    // For a box that has just started the bound applies only after the contact time.
     paces.awaitRelays = settings.contact / 2;
     return paces;
 }
--- a/src/gateway/FeedPaces.h
+++ b/src/gateway/FeedPaces.h
@@ -1,5 +1,5 @@
 /** \file
- * The paces of a gateway's feeds, worked out from the bounds of its settings.
+ * The timings of a gateway's feeds, derived from the bounds in its settings.
  */
 #pragma once
 
@@ -8,16 +8,16 @@
 
 namespace limereel::gateway {
 
-/** How long a confirmation of the configuration holds. */
+/** How long a confirmation of the configuration is valid. */
 kernel::Duration usableFor(const kernel::GatewaySettings &settings);
 
-/** The paces of the feed of the configuration. */
+/** The timings of the configuration feed. */
 FeedPaces configurationPaces(const kernel::GatewaySettings &settings);
 
-/** The paces of the feed of the backend servers. */
+/** The timings of the backend server feed. */
 FeedPaces serverPaces(const kernel::GatewaySettings &settings);
 
-/** The paces of the feed of drained halls. */
+/** The timings of the feed of drained halls. */
 FeedPaces hallDrainPaces(const kernel::GatewaySettings &settings);
 
 /** Boxes in a hall from which on some relay for the others. */
--- a/src/gateway/FeedRelay.cpp
+++ b/src/gateway/FeedRelay.cpp
@@ -14,21 +14,21 @@
 constexpr int BadAsk = 400;
 constexpr int UnknownPath = 404;
 constexpr int Full = 503;
-// No ask is held longer, whatever it says.
-constexpr kernel::Duration LongestHold = 5s;
+// Upper limit of the hold time that an ask may request.
+constexpr kernel::Duration MaxHold = 5s;
 
-/** Gives room back at the end of an answer, however that comes. */
-class HeldRoom
+/** Releases the bytes reserved for an answer when it ends, also on failure. */
+class ReservedBytes
 {
 public:
-    HeldRoom(std::shared_ptr<store::AnswerRoom> room, std::size_t bytes)
+    ReservedBytes(std::shared_ptr<store::AnswerRoom> room, std::size_t bytes)
         : room_(std::move(room))
         , bytes_(bytes)
     {
     }
-    ~HeldRoom() { room_->giveBack(bytes_); }
-    HeldRoom(const HeldRoom &) = delete;
-    HeldRoom &operator=(const HeldRoom &) = delete;
+    ~ReservedBytes() { room_->giveBack(bytes_); }
+    ReservedBytes(const ReservedBytes &) = delete;
+    ReservedBytes &operator=(const ReservedBytes &) = delete;
 
 private:
     std::shared_ptr<store::AnswerRoom> room_;
@@ -40,7 +40,7 @@
     http::ServerLimits limits;
     limits.headBytes = 4096;
     limits.bodyBytes = 1024;
-    // Two for each box of a hall, which callers' and servers' connections leave room for.
+    // Two for each box of a hall; callers' and servers' connections use the other descriptors.
     limits.connections = settings.descriptors / 8;
     limits.idleTimeout = 30s;
     return limits;
@@ -93,7 +93,7 @@
 asio::awaitable<void> FeedRelay::waitForNews(ObjectFeed &feed, const peer::FeedAsk &ask)
 {
     const kernel::Duration hold =
-            std::min<kernel::Duration>(std::chrono::milliseconds(ask.holdMs), LongestHold);
+            std::min<kernel::Duration>(std::chrono::milliseconds(ask.holdMs), MaxHold);
     if (hold == 0s || feed.record().answersAtOnce(ask)) {
         co_return;
     }
@@ -129,7 +129,7 @@
         co_await reply.send(std::move(full));
         co_return;
     }
-    const HeldRoom held(room_, bytes);
+    const ReservedBytes held(room_, bytes);
     co_await reply.send(std::move(answer));
 }
 
--- a/src/gateway/FeedRelay.h
+++ b/src/gateway/FeedRelay.h
@@ -1,7 +1,7 @@
 /** \file
  * Answers other boxes of the hall that ask what the store holds (peer/FeedMessages.h): over HTTP on
- * TCP, at the same port number as the datagrams, in the same authenticated envelope. An answer may
- * be longer than a datagram, and many asks wait at once.
+ * TCP, at the same port number as the peer datagrams, in the same authenticated envelope. TCP is
+ * used because an answer may be longer than a datagram and many asks are held open at once.
  */
 #pragma once
 
@@ -14,10 +14,10 @@
 
 namespace limereel::gateway {
 
-/** Path of the asks. */
+/** HTTP path for asks. */
 inline constexpr const char *FeedPath = "/feed";
 
-/** The service. */
+/** Serves the feeds of this box to other boxes. */
 class FeedRelay : public kernel::Service
 {
 public:
@@ -36,7 +36,7 @@
     services::Context &context_;
     FleetView &fleetView_;
     std::vector<peer::PeerKey> keys_;
-    std::shared_ptr<store::AnswerRoom> room_; ///< Also of answers that outlive the service.
+    std::shared_ptr<store::AnswerRoom> room_; ///< Shared with answers that outlive the service.
     std::unique_ptr<http::Server> server_;
 };
 
--- a/src/gateway/FeedSources.cpp
+++ b/src/gateway/FeedSources.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// The first one serves the hall; with three, a hall of which a third of the boxes is turned away by
-// the store or has died finds one that works in 26 of 27 cases before each box asks by itself.
-constexpr std::size_t Relays = 3;
+// The first one serves the hall. With three, a hall in which a third of the boxes has failed or is
+// refused by the store finds a working relay in 26 of 27 cases before each box asks by itself.
+constexpr std::size_t RelayCount = 3;
 
 } // namespace
 
@@ -21,33 +21,34 @@
         state.hall = membership::shortHash(context_.settings.hall.hash());
         state.linkMbps = static_cast<std::uint32_t>(context_.settings.gateway.linkMbps);
     });
-    members_.onBeat([this] { workOut(); });
-    // A box that has just started needs to know whom to ask before its first heartbeat is due.
+    members_.onBeat([this] { updateRelays(); });
+    // A box that has just started needs its relays before its first heartbeat is due.
     members_.onNews([this] {
         if (relays_.empty()) {
-            workOut();
+            updateRelays();
         }
     });
 }
 
-void FeedSources::workOut()
+void FeedSources::updateRelays()
 {
     const auto hall = membership::shortHash(context_.settings.hall.hash());
-    std::vector<store::RelayCandidate> live;
+    std::vector<store::RelayCandidate> candidates;
     if (!members_.leaving()) {
-        live.push_back({self(), static_cast<std::uint32_t>(context_.settings.gateway.linkMbps)});
+        candidates.push_back(
+                {self(), static_cast<std::uint32_t>(context_.settings.gateway.linkMbps)});
     }
     for (const membership::BoxState &state : members_.states()) {
         const bool works =
                 !state.leaving && members_.liveness(state.box) == membership::Liveness::Live;
         if (state.box != self() && state.hall == hall && works && state.address != 0) {
-            live.push_back({state.box, state.linkMbps});
+            candidates.push_back({state.box, state.linkMbps});
         }
     }
-    hallBoxes_ = live.size();
+    hallBoxes_ = candidates.size();
     relays_.clear();
     if (hallBoxes_ >= fewest_) {
-        relays_ = store::relayOrder(hall, live, Relays);
+        relays_ = store::relayOrder(hall, candidates, RelayCount);
     }
 }
 
--- a/src/gateway/FeedSources.h
+++ b/src/gateway/FeedSources.h
@@ -1,6 +1,5 @@
 /** \file
- * The boxes of the own hall that a feed may ask in place of the store, from what the heartbeats
- * tell of them.
+ * The boxes of this hall that a feed may ask instead of the store, according to their heartbeats.
  */
 #pragma once
 
@@ -12,19 +11,19 @@
 
 namespace limereel::gateway {
 
-/** The relays of the own hall. Worked out anew after each heartbeat. */
+/** The relays of this hall. Recomputed after each heartbeat. */
 class FeedSources
 {
 public:
-    /** \param fewest boxes in a hall from which on some relay for the others. */
+    /** \param fewest number of boxes in a hall from which on relays are used. */
     FeedSources(services::Context &context, std::size_t fewest);
 
-    /** The boxes to ask, best first, which may name this one; empty if nobody relays. */
+    /** The boxes to ask, best first; may include this one. Empty if the hall has no relays. */
     const std::vector<std::uint64_t> &relays() const { return relays_; }
 
     std::uint64_t self() const { return members_.self(); }
 
-    /** Live boxes of the hall, this one included. */
+    /** Number of live boxes in the hall, this one included. */
     std::size_t hallBoxes() const { return hallBoxes_; }
 
     std::optional<kernel::Endpoint> addressOf(std::uint64_t box) const
@@ -37,7 +36,7 @@
     void setFewest(std::size_t fewest) { fewest_ = fewest; }
 
 private:
-    void workOut();
+    void updateRelays();
 
     services::Context &context_;
     services::MembershipService &members_;
--- a/src/gateway/KeptObjects.cpp
+++ b/src/gateway/KeptObjects.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What a relay with a link of 20 Mbit/s passes on to sixty boxes within a second.
-constexpr std::size_t Small = 41000;
+// Bytes that a relay with a link of 20 Mbit/s can send to each of sixty boxes within a second.
+constexpr std::size_t MaxSmallBytes = 41000;
 
 store::KeptObject keptObject(const store::StoredObject &object, bool large)
 {
@@ -18,7 +18,7 @@
     try {
         kept.text = object.content.dump();
     } catch (const nlohmann::json::exception &) {
-        // A text that isn't UTF-8; others read it from the store themselves.
+        // The content isn't valid UTF-8; other boxes read it from the store themselves.
         kept.large = true;
     }
     return kept;
@@ -29,7 +29,7 @@
 std::vector<store::KeptObject> keptObjects(const std::vector<store::StoredObject> &objects,
                                            std::size_t answerBytes, bool relays)
 {
-    const bool large = !objects.empty() && !relays && answerBytes / objects.size() > Small;
+    const bool large = !objects.empty() && !relays && answerBytes / objects.size() > MaxSmallBytes;
     std::vector<store::KeptObject> kept;
     kept.reserve(objects.size());
     for (const store::StoredObject &object : objects) {
--- a/src/gateway/KeptObjects.h
+++ b/src/gateway/KeptObjects.h
@@ -1,5 +1,5 @@
 /** \file
- * Objects as they were read from the store, put by for passing on to other boxes.
+ * Objects read from the store, serialized for other boxes that ask this one.
  */
 #pragma once
 
@@ -11,10 +11,10 @@
 namespace limereel::gateway {
 
 /**
- * The \a objects with their contents as text.
- * \param answerBytes of the answer that brought them.
- * \param relays whether others may ask this box. Else only the names of large objects are kept: a
- * box that nobody asks needn't write and hold what it read.
+ * Returns \a objects with their contents as text.
+ * \param answerBytes size of the answer that contained them.
+ * \param relays whether other boxes may ask this one. If not, only the names of large objects are
+ * kept, which saves serializing and storing contents that nobody asks for.
  */
 std::vector<store::KeptObject> keptObjects(const std::vector<store::StoredObject> &objects,
                                            std::size_t answerBytes, bool relays);
--- a/src/gateway/ObjectFeed.cpp
+++ b/src/gateway/ObjectFeed.cpp
@@ -18,20 +18,20 @@
 
 constexpr int Good = 200;
 constexpr int HistoryGone = 410;
-// Well within any store's history, so that the watch can go on from the first page.
-constexpr kernel::Duration LongestListing = 8s;
-// Two heartbeats. A confirmation by the list has time left for a whole watch after it.
-constexpr kernel::Duration SettleFor = 2s;
-constexpr kernel::Duration SettleLook = 100ms;
-// More than a page of the store has.
+// Well within any store's history, so that the watch can start from the first page's revision.
+constexpr kernel::Duration MaxListingTime = 8s;
+// Two heartbeats. The list's confirmation stays valid long enough for a whole watch after it.
+constexpr kernel::Duration RelayDiscoveryTime = 2s;
+constexpr kernel::Duration RelayDiscoveryPoll = 100ms;
+// More than one page of the store.
 constexpr std::size_t LongList = 500;
-// Requests wait while objects are taken in: with tens of microseconds each (an estimate), these
-// hold them up for some 10 ms on a box with an eighth of a core.
-constexpr std::size_t MostAtOnce = 64;
+// Requests wait while objects are processed. At an estimated tens of microseconds per object, this
+// many delay requests by about 10 ms on a box with an eighth of a core.
+constexpr std::size_t MaxBatch = 64;
 
-// Reading a large answer, taking it in and putting it away are several turns of the event loop,
-// with others between them.
-asio::awaitable<void> letOthersRun()
+// Lets other handlers of the event loop run: parsing, applying and storing a large answer are split
+// over several turns of the loop.
+asio::awaitable<void> yieldToLoop()
 {
     co_await asio::post(asio::use_awaitable);
 }
@@ -63,7 +63,7 @@
 
 bool ObjectFeed::hasUnprocessed() const
 {
-    return taking_ || storeConnection_.unread() || relayClient_.unread();
+    return processing_ || storeConnection_.unread() || relayClient_.unread();
 }
 
 void ObjectFeed::retryNow()
@@ -73,7 +73,7 @@
     }
 }
 
-// A box that becomes a relay doesn't wait for another one's answer any more.
+// A box that becomes a relay stops waiting for another relay's answer.
 void ObjectFeed::noteAsked()
 {
     const kernel::Instant now = context_.now();
@@ -91,8 +91,8 @@
     if (tooLarge_ && book_.storeFailures() == 0) {
         return book_.storeStep(now);
     }
-    const FeedStep pause{.kind = FeedStep::Kind::Pause, .pause = SettleLook};
-    if (settling()) {
+    const FeedStep pause{.kind = FeedStep::Kind::Pause, .pause = RelayDiscoveryPoll};
+    if (awaitingRelays()) {
         return pause;
     }
     const FeedStep step =
@@ -112,20 +112,22 @@
     case FeedStep::Kind::Pause:
         break;
     }
-    if (!settling() && !leavesListToRelays()) {
+    if (!awaitingRelays() && !leavesListToRelays()) {
         noteLost("no-source");
     }
     co_return step.pause;
 }
 
-// A box that has just listed knows few others yet. It waits for a watch's time for heartbeats that
-// name relays: 295 boxes that start together would each watch the store once or twice for nothing.
-bool ObjectFeed::settling() const
+// A box that has just read its first list knows few other boxes yet. It waits about as long as a
+// watch for heartbeats that name relays; otherwise each of 295 boxes that start together would
+// watch the store once or twice unnecessarily.
+bool ObjectFeed::awaitingRelays() const
 {
     if (!at_) {
         return sources_.relays().empty() && context_.now() - began_ < paces_.awaitRelays;
     }
-    return !failing_ && sources_.relays().empty() && context_.now() - listedFirst_ < SettleFor;
+    return !failing_ && sources_.relays().empty()
+           && context_.now() - listedFirst_ < RelayDiscoveryTime;
 }
 
 bool ObjectFeed::leavesListToRelays() const
@@ -154,7 +156,7 @@
     } else {
         good = co_await list();
     }
-    taking_ = false;
+    processing_ = false;
     if (!good) {
         co_return kernel::Duration::zero();
     }
@@ -172,11 +174,11 @@
     heardFromStore_ = false;
     context_.counters.add("store_failures", {{"kind", kind_}});
     storeConnection_.close();
-    // A first failure that came soon, such as a refusal, may be the only one: those who hear
-    // through this box aren't sent elsewhere for it.
+    // A first failure that comes quickly, such as a refusal, may be the only one, so the boxes that
+    // ask this one don't have to switch to another source yet.
     const auto confirmed = record_.confirmedAsOf();
-    const bool young = confirmed && context_.now() - *confirmed < paces_.oldestHeard / 2;
-    if (book_.storeFailures() > 1 || !young) {
+    const bool recent = confirmed && context_.now() - *confirmed < paces_.oldestHeard / 2;
+    if (book_.storeFailures() > 1 || !recent) {
         noteLost(what);
     }
     failing_ = true;
@@ -190,10 +192,11 @@
 void ObjectFeed::noteLost(const std::string &why)
 {
     record_.setLost(true);
-    wake();
+    notifyWaiters();
     if (!failing_) {
         failing_ = true;
-        log().event("store-lost", {{"kind", kind_}, {"why", why}}, "The store is lost.");
+        log().event("store-lost", {{"kind", kind_}, {"why", why}},
+                    "The feed has lost contact with the store.");
     }
 }
 
@@ -213,11 +216,11 @@
     }
     context_.counters.add("feed_sources", {{"kind", kind_}});
     log().event("source", {{"kind", kind_}, {"from", source_}, {"to", source}},
-                "The feed has another source.");
+                "The feed has a new source.");
     source_ = source;
 }
 
-void ObjectFeed::wake()
+void ObjectFeed::notifyWaiters()
 {
     for (asio::steady_timer *const timer : *waiting_) {
         timer->cancel();
@@ -227,7 +230,7 @@
 asio::awaitable<tl::expected<http::Answer, std::string>> ObjectFeed::askStore(std::string target,
                                                                               AnswerWait wait)
 {
-    taking_ = false;
+    processing_ = false;
     const kernel::Endpoint &where = context_.settings.platform;
     const auto opened = co_await storeConnection_.open(where, context_.settings.connectTimeout);
     if (!opened) {
@@ -237,7 +240,7 @@
     http::Request request("GET", std::move(target),
                           http::Fields().with("Host", kernel::text(where)));
     auto answer = co_await storeConnection_.ask(std::move(request), wait);
-    taking_ = answer.has_value();
+    processing_ = answer.has_value();
     reportedAt_ = context_.now() - storeConnection_.rested();
     co_return answer;
 }
@@ -253,23 +256,24 @@
     http::JsonSlices slices(body);
     while (slices.readSlice()) {
         context_.counters.add("store_answer_slices", {{"kind", kind_}});
-        co_await letOthersRun();
+        co_await yieldToLoop();
     }
     co_return slices.take();
 }
 
-// What is told meanwhile of what is known already stays: taking_ says that there is more.
-asio::awaitable<void> ObjectFeed::handOver(std::span<const store::StoredObject> objects)
+// Delivers the objects in batches. processing_ stays set meanwhile, which tells callers of
+// hasUnprocessed() that more is to come.
+asio::awaitable<void> ObjectFeed::deliver(std::span<const store::StoredObject> objects)
 {
-    while (objects.size() > MostAtOnce) {
-        hooks_.changed(objects.first(MostAtOnce));
-        objects = objects.subspan(MostAtOnce);
-        co_await letOthersRun();
+    while (objects.size() > MaxBatch) {
+        hooks_.changed(objects.first(MaxBatch));
+        objects = objects.subspan(MaxBatch);
+        co_await yieldToLoop();
     }
     hooks_.changed(objects);
 }
 
-void ObjectFeed::handOverNames(std::span<const store::StoredObject> objects)
+void ObjectFeed::deliverNames(std::span<const store::StoredObject> objects)
 {
     std::set<std::string> names;
     for (const store::StoredObject &object : objects) {
@@ -291,9 +295,9 @@
 {
     const kernel::Instant now = context_.now();
     const bool begun = listing_ && !listing_->objects.empty();
-    // Others may have told newer things since the first page.
-    const bool outrun = begun && listing_->at < at_.value_or(0);
-    if (!begun || outrun || now - listing_->begun > LongestListing) {
+    // A relay may have reported a newer state since the first page was read.
+    const bool outdated = begun && listing_->at < at_.value_or(0);
+    if (!begun || outdated || now - listing_->begun > MaxListingTime) {
         listing_ = Listing{now, 0, {}, {}};
     }
     bool more = true;
@@ -302,10 +306,10 @@
         const std::string after = objects.empty() ? std::string() : objects.back().name;
         std::string target = format_.listTarget(kind_, after);
         const kernel::Instant asked = context_.now();
-        const kernel::Duration longest =
+        const kernel::Duration timeout =
                 store::pageWait(paces_.alone, book_.storeFailures(), at_.has_value());
         const auto answer =
-                co_await askStore(std::move(target), {longest, longest, longest + LongestListing});
+                co_await askStore(std::move(target), {timeout, timeout, timeout + MaxListingTime});
         if (!answer || answer->status != Good) {
             noteFailure(answer ? "status " + std::to_string(answer->status) : answer.error());
             co_return false;
@@ -321,7 +325,7 @@
         }
         noteUnreadable(page->unreadable);
         const bool first = listing_->objects.empty();
-        more = takePage(std::move(*page), bytes);
+        more = appendPage(std::move(*page), bytes);
         if (more && first && !inLine()) {
             co_return true;
         }
@@ -335,18 +339,18 @@
     Listing listing = std::move(*listing_);
     listing_.reset();
     at_ = std::max(at_.value_or(0), listing.at);
-    co_await letOthersRun();
+    co_await yieldToLoop();
     record_.replace(std::move(listing.kept), listing.at, reportedAt_);
-    co_await handOver(listing.objects);
-    handOverNames(listing.objects);
+    co_await deliver(listing.objects);
+    deliverNames(listing.objects);
     confirm(listing.begun);
-    wake();
-    co_await letOthersRun();
+    notifyWaiters();
+    co_await yieldToLoop();
     co_return true;
 }
 
-// Changes between two pages come with the watch, which goes on from the first page.
-bool ObjectFeed::takePage(store::ObjectPage page, std::size_t bytes)
+// Changes between two pages come with the watch, which starts from the first page's revision.
+bool ObjectFeed::appendPage(store::ObjectPage page, std::size_t bytes)
 {
     if (listing_->objects.empty()) {
         listing_->at = page.at;
@@ -365,13 +369,14 @@
     const auto confirmed = record_.confirmedAsOf();
     const kernel::Duration age = confirmed ? asked - *confirmed : kernel::Duration();
     const kernel::Duration wait = store::watchWait(pace, latency_, age);
-    const kernel::Duration rest = store::answerWait(pace, latency_);
-    const kernel::Duration longest = wait + rest;
+    const kernel::Duration answerTimeout = store::answerWait(pace, latency_);
+    const kernel::Duration timeout = wait + answerTimeout;
     std::string target = format_.watchTarget(kind_, *at_, wait);
-    const auto answer =
-            co_await askStore(std::move(target), {longest, rest, longest + LongestListing});
+    const auto answer = co_await askStore(std::move(target),
+                                          {timeout, answerTimeout, timeout + MaxListingTime});
     if (answer && answer->status == HistoryGone) {
-        log().info("The store has forgotten its history of '" + kind_ + "'; the list is read.");
+        log().info("The store no longer has the history of '" + kind_
+                   + "'; the list is read again.");
         historyLost_ = context_.now();
         co_return true;
     }
@@ -394,15 +399,15 @@
     at_ = std::max(*at_, changes->at);
     changed_ = !changes->objects.empty();
     if (changed_) {
-        co_await letOthersRun();
+        co_await yieldToLoop();
         record_.change(keptObjects(changes->objects, answer->body.size(), inLine()), *at_,
                        reportedAt_);
-        co_await handOver(changes->objects);
+        co_await deliver(changes->objects);
     }
     confirm(asked);
-    wake();
+    notifyWaiters();
     if (changed_) {
-        co_await letOthersRun();
+        co_await yieldToLoop();
     }
     co_return true;
 }
@@ -421,18 +426,18 @@
 {
     const peer::FeedAsk ask = makeAsk(proven);
     const kernel::Instant asked = context_.now();
-    const kernel::Duration longest = std::chrono::milliseconds(ask.holdMs) + store::RelayAnswer;
+    const kernel::Duration timeout = std::chrono::milliseconds(ask.holdMs) + store::RelayAnswer;
     askingRelay_ = true;
     abandoned_ = false;
     std::optional<peer::FeedAnswer> answer;
     if (const auto where = sources_.addressOf(relay)) {
-        answer = co_await relayClient_.ask(*where, ask, longest);
+        answer = co_await relayClient_.ask(*where, ask, timeout);
     }
     askingRelay_ = false;
     if (abandoned_) {
         co_return;
     }
-    taking_ = answer.has_value();
+    processing_ = answer.has_value();
     if (!answer) {
         noteRelayFault(relay, "silent", store::RelayFault::Silent);
         co_return;
@@ -452,9 +457,9 @@
                        foreign ? store::RelayFault::Silent : store::RelayFault::Lost);
     }
     if (peer::tellsSomething(verdict) && answer->confirmedMs) {
-        co_await takeAnswer(std::move(*answer), asked);
+        co_await applyAnswer(std::move(*answer), asked);
     }
-    taking_ = false;
+    processing_ = false;
 }
 
 void ObjectFeed::noteRelayFault(std::uint64_t relay, const std::string &what,
@@ -462,7 +467,7 @@
 {
     context_.counters.add("relay_faults", {{"kind", kind_}, {"reason", what}});
     log().event("relay-fault", {{"kind", kind_}, {"relay", sources_.nameOf(relay)}, {"why", what}},
-                "Another box didn't tell what the store holds.");
+                "A relay didn't send what the store holds.");
     book_.noteRelayFailed(relay, fault, context_.now());
     relayClient_.close();
 }
@@ -476,7 +481,7 @@
     noteAnswer();
 }
 
-asio::awaitable<void> ObjectFeed::takeAnswer(peer::FeedAnswer answer, kernel::Instant asked)
+asio::awaitable<void> ObjectFeed::applyAnswer(peer::FeedAnswer answer, kernel::Instant asked)
 {
     if (answer.storeFailedMs) {
         record_.noteStoreFailure(peer::forAsker(asked, *answer.storeFailedMs));
@@ -487,10 +492,10 @@
         co_return;
     }
     const kernel::Instant asOf = peer::forAsker(asked, *answer.confirmedMs);
-    reportedAt_ = toldBy(answer, asked);
+    reportedAt_ = reportTimeOf(answer, asked);
     const bool newer = answer.at > at_.value_or(0);
     if (newer) {
-        const bool taken = co_await takeNews(std::move(answer));
+        const bool taken = co_await applyNews(std::move(answer));
         if (!taken) {
             co_return;
         }
@@ -498,12 +503,13 @@
     }
     confirm(asOf);
     if (newer) {
-        wake();
+        notifyWaiters();
     }
 }
 
-// What a whole list doesn't name went after what is known was last right.
-kernel::Instant ObjectFeed::toldBy(const peer::FeedAnswer &answer, kernel::Instant asked) const
+// Objects missing from a complete list were removed after this feed's last confirmation.
+kernel::Instant ObjectFeed::reportTimeOf(const peer::FeedAnswer &answer,
+                                         kernel::Instant asked) const
 {
     const kernel::Instant asOf = peer::forAsker(asked, *answer.confirmedMs);
     if (answer.whole) {
@@ -525,35 +531,35 @@
             object.content = co_await readBody(one.text);
         }
         objects.push_back(std::move(object));
-        if (objects.size() % MostAtOnce == 0) {
-            co_await letOthersRun();
+        if (objects.size() % MaxBatch == 0) {
+            co_await yieldToLoop();
         }
     }
     co_return objects;
 }
 
-// Gives false if not all of it could be taken: then nothing is confirmed.
-asio::awaitable<bool> ObjectFeed::takeNews(peer::FeedAnswer answer)
+// Returns false if not all of it could be applied; then nothing is confirmed.
+asio::awaitable<bool> ObjectFeed::applyNews(peer::FeedAnswer answer)
 {
     if (answer.whole && at_) {
-        co_return co_await takeWhole(std::move(answer));
+        co_return co_await applyWholeList(std::move(answer));
     }
     const auto objects = co_await readObjects(answer.objects);
     at_ = answer.at;
     if (answer.whole) {
         record_.replace(std::move(answer.objects), answer.at, reportedAt_);
-        co_await handOver(objects);
-        handOverNames(objects);
+        co_await deliver(objects);
+        deliverNames(objects);
     } else {
         record_.change(std::move(answer.objects), answer.at, reportedAt_);
-        co_await handOver(objects);
+        co_await deliver(objects);
     }
-    co_await letOthersRun();
+    co_await yieldToLoop();
     co_return true;
 }
 
-// Contents that this box has were left out.
-asio::awaitable<bool> ObjectFeed::takeWhole(peer::FeedAnswer answer)
+// The answer leaves out contents that this box has already.
+asio::awaitable<bool> ObjectFeed::applyWholeList(peer::FeedAnswer answer)
 {
     auto merged = record_.merge(std::move(answer.objects));
     if (!merged) {
@@ -564,8 +570,8 @@
     const auto objects = co_await readObjects(merged->changes);
     at_ = answer.at;
     record_.replace(std::move(merged->all), answer.at, reportedAt_);
-    co_await handOver(objects);
-    co_await letOthersRun();
+    co_await deliver(objects);
+    co_await yieldToLoop();
     co_return true;
 }
 
--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -1,14 +1,15 @@
 /** \file
- * Follows all objects of one kind in the store: a list first, then a watch that goes on from it,
- * and a new list whenever the store has forgotten what lay between, or has been away: what is
- * missed then may be many versions of a large object, of which only the newest counts.
+ * Follows all objects of one kind in the store: reads a list, then watches for changes from there.
+ * It reads a new list when the store no longer has the history since the last watch, and after an
+ * outage: the missed changes may be many versions of a large object, of which only the newest
+ * matters.
  *
- * Where a few boxes of the hall ask the store for all (store/SourceBook.h), the others ask these:
- * what a box spends on calls to the store then doesn't grow with the boxes of its hall.
+ * If some boxes of the hall act as relays (store/SourceBook.h), the other boxes ask them instead of
+ * the store, so that the calls to the store don't grow with the number of boxes in a hall.
  *
- * An outage changes nothing that is known. Each answered watch also confirms that nothing newer had
- * been there when it was asked; an answer of a relay, that nothing newer was there when the relay
- * was last told so.
+ * An outage leaves the known state unchanged. Each answered watch also confirms that the store had
+ * nothing newer when the watch was sent; an answer of a relay confirms this for the time of the
+ * relay's own last confirmation.
  */
 #pragma once
 
@@ -31,71 +32,73 @@
 
 namespace limereel::gateway {
 
-/** The paces of one feed. */
+/** The timings of one feed. */
 struct FeedPaces
 {
-    store::FeedPace alone;    ///< Of a box that asks the store for itself.
-    store::FeedPace relaying; ///< Of one that asks it for others.
+    store::FeedPace alone;    ///< For a box that asks the store for itself.
+    store::FeedPace relaying; ///< For a box that also asks it for others.
 
-    /** Age from which on what a relay knows is too old. */
+    /** Age from which on a relay's state is too old to use. */
     kernel::Duration oldestHeard{};
 
-    /** How long a box that knows nothing yet waits for heartbeats to name relays, before it asks
-     * the store itself; zero: not at all. */
+    /** How long a box without any state waits for heartbeats that name relays before it asks the
+     * store itself; zero: it doesn't wait. */
     kernel::Duration awaitRelays{};
 
-    store::SourcePolicy sources = {}; ///< Taken once, when the feed is made.
+    store::SourcePolicy sources = {}; ///< Read once, when the feed is created.
 };
 
-/** What a feed calls. */
+/** The callbacks of a feed. */
 struct FeedHooks
 {
-    /** Objects that are new, changed or went; of many, some at a time. */
+    /** Receives objects that are new, changed or removed; many of them come in several batches. */
     std::function<void(std::span<const store::StoredObject>)> changed;
 
-    /** All objects there are have been told; what isn't named is gone. */
+    /** Called after a complete list with the names of all objects; all others are gone. */
     std::function<void(const std::set<std::string> &names)> listComplete = [](const auto &) {};
 
-    /** What is known was the newest at \a asOf. */
+    /** Called when the known state was found to be the newest at \a asOf. */
     std::function<void(kernel::Instant asOf)> confirmed;
 
-    /** Whether the feed may ask the store if the box has relays that don't help. */
+    /** Whether the feed may ask the store if the box has relays but none of them works. */
     std::function<bool()> storeAllowed = [] { return true; };
 };
 
-/** One feed. */
+/** Follows the objects of one kind. */
 class ObjectFeed
 {
 public:
     ObjectFeed(services::Context &context, const store::ObjectFormat &format, std::string kind,
                const FeedPaces &paces, FeedSources &sources, FeedHooks hooks);
 
-    /** When the store last failed to answer; nothing if it never did. */
+    /** When the store last failed to answer; empty if it never did. */
     std::optional<kernel::Instant> lastFailure() const { return record_.storeFailedAt(); }
 
-    /** Whether something that has arrived isn't taken in yet. To be asked once the loop has had a
-     * turn, in which it handles what it has read already. */
+    /** Whether something that has arrived isn't processed yet. Only valid after one more turn of
+     * the event loop, in which it handles what it has already read. */
     bool hasUnprocessed() const;
 
-    /** When the store told what the hooks are called for, or earlier; it may have lain unread. */
+    /** When the store sent the state for which the hooks are being called, or earlier. The process
+     * may have read it much later. */
     kernel::Instant reportedAt() const { return reportedAt_; }
 
-    /** Whether the store itself answered this box last. */
+    /** Whether this box's last answer came from the store itself. */
     bool heardFromStore() const { return heardFromStore_; }
 
-    /** Replaces the paces, from the next call on. */
+    /** Replaces the timings, from the next call on. */
     void setPaces(const FeedPaces &paces) { paces_ = paces; }
 
-    /** Asks again at once if the feed waits after a failure. */
+    /** Asks again at once if the feed is pausing after a failure. */
     void retryNow();
 
-    /** What may be told to other boxes. */
+    /** The state that is passed on to other boxes. */
     const peer::FeedRecord &record() const { return record_; }
 
-    /** Another box has asked this one. */
+    /** Records that another box has asked this one. */
     void noteAsked();
 
-    /** Cancels a timer once there is news, for as long as this lives; it may outlive the feed. */
+    /** Cancels a timer when there is news, for as long as this object exists. It may outlive the
+     * feed. */
     class NewsWaiter
     {
     public:
@@ -122,39 +125,39 @@
     boost::asio::awaitable<bool> watch();
     boost::asio::awaitable<tl::expected<http::Answer, std::string>> askStore(std::string target,
                                                                              AnswerWait wait);
-    boost::asio::awaitable<void> takeAnswer(peer::FeedAnswer answer, kernel::Instant asked);
+    boost::asio::awaitable<void> applyAnswer(peer::FeedAnswer answer, kernel::Instant asked);
     void noteRelayAnswer(std::uint64_t relay);
-    boost::asio::awaitable<bool> takeNews(peer::FeedAnswer answer);
-    boost::asio::awaitable<bool> takeWhole(peer::FeedAnswer answer);
+    boost::asio::awaitable<bool> applyNews(peer::FeedAnswer answer);
+    boost::asio::awaitable<bool> applyWholeList(peer::FeedAnswer answer);
     boost::asio::awaitable<std::vector<store::StoredObject>>
     readObjects(const std::vector<store::KeptObject> &kept);
     boost::asio::awaitable<nlohmann::json> readBody(const std::string &body);
     store::FeedStep nextStep() const;
     peer::FeedAsk makeAsk(bool proven) const;
     void confirm(kernel::Instant asOf);
-    bool takePage(store::ObjectPage page, std::size_t bytes);
+    bool appendPage(store::ObjectPage page, std::size_t bytes);
     void noteFailure(const std::string &what);
     void noteRelayFault(std::uint64_t relay, const std::string &what, store::RelayFault fault);
     void noteAnswer();
     bool inLine() const;
     void noteLost(const std::string &why);
-    bool settling() const;
+    bool awaitingRelays() const;
     bool leavesListToRelays() const;
-    boost::asio::awaitable<void> handOver(std::span<const store::StoredObject> objects);
-    void handOverNames(std::span<const store::StoredObject> objects);
+    boost::asio::awaitable<void> deliver(std::span<const store::StoredObject> objects);
+    void deliverNames(std::span<const store::StoredObject> objects);
     void noteUnreadable(std::size_t objects);
-    kernel::Instant toldBy(const peer::FeedAnswer &answer, kernel::Instant asked) const;
+    kernel::Instant reportTimeOf(const peer::FeedAnswer &answer, kernel::Instant asked) const;
     void noteSource(const std::string &source);
-    void wake();
+    void notifyWaiters();
 
-    /** A list that is read page by page; kept when the store refuses a page, so that a crowd of
-     * starting boxes that it serves in turn all get to the end. */
+    /** A list that is read page by page. It is kept when the store refuses a page, so that all of
+     * many boxes that start together can finish theirs although the store refuses some calls. */
     struct Listing
     {
         kernel::Instant begun;
-        std::uint64_t at = 0; ///< The watch goes on from the first page.
+        std::uint64_t at = 0; ///< Revision of the first page; the watch starts there.
         std::vector<store::StoredObject> objects;
-        std::vector<store::KeptObject> kept; ///< The same, as they are passed on.
+        std::vector<store::KeptObject> kept; ///< The same objects, serialized for other boxes.
     };
 
     services::Context &context_;
@@ -168,24 +171,24 @@
     FeedConnection storeConnection_;
     RelayClient relayClient_;
     std::shared_ptr<std::set<boost::asio::steady_timer *>> waiting_ =
-            std::make_shared<std::set<boost::asio::steady_timer *>>(); ///< Of held asks.
+            std::make_shared<std::set<boost::asio::steady_timer *>>(); ///< Timers of held asks.
     std::optional<Listing> listing_;
-    std::optional<std::uint64_t> at_; ///< Where the next watch goes on; nothing: list first.
+    std::optional<std::uint64_t> at_; ///< Where the next watch starts; empty: list first.
     kernel::Instant reportedAt_;
-    kernel::Instant began_;       ///< When the feed was made.
-    kernel::Instant listedFirst_; ///< When the first list was begun.
-    /** When the store said that it has forgotten what changed since at_; a list is needed. */
+    kernel::Instant began_;       ///< When the feed was created.
+    kernel::Instant listedFirst_; ///< When the first list was started.
+    /** When the store answered that it no longer has the history since at_; a list is needed. */
     std::optional<kernel::Instant> historyLost_;
-    std::string source_; ///< As it was last logged.
+    std::string source_; ///< The source that was last logged.
     bool heardFromStore_ = false;
-    bool relaying_ = false;      ///< The call to the store that runs is for others, too.
-    bool askingRelay_ = false;   ///< An ask of a relay is under way,
-    bool abandoned_ = false;     ///< and is given up, as this box has become one.
-    bool relayFault_ = false;    ///< No relay has told anything of use since one failed.
-    bool tooLarge_ = false;      ///< The relay has something that only the store can send.
+    bool relaying_ = false;      ///< The running call to the store is also for other boxes.
+    bool askingRelay_ = false;   ///< An ask of a relay is running.
+    bool abandoned_ = false;     ///< The running ask was cancelled because this box became a relay.
+    bool relayFault_ = false;    ///< No relay has given a useful answer since one failed.
+    bool tooLarge_ = false;      ///< The relay named an object that only the store can send.
     bool changed_ = false;       ///< The last watch brought changes.
-    bool taking_ = false;        ///< An answer is whole and isn't taken in yet.
-    kernel::Duration latency_{}; ///< Of the store's last answer, waits taken off.
+    bool processing_ = false;    ///< A complete answer has arrived and isn't processed yet.
+    kernel::Duration latency_{}; ///< Of the store's last answer, without the watch's wait.
     bool failing_ = false;
     std::unique_ptr<services::Repeat> loop_;
 };
--- a/src/gateway/RelayClient.cpp
+++ b/src/gateway/RelayClient.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 asio::awaitable<std::optional<peer::FeedAnswer>>
-RelayClient::ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration longest)
+RelayClient::ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration timeout)
 {
     const auto opened = co_await connection_.open(where, store::RelayAnswer);
     if (!opened) {
@@ -26,7 +26,7 @@
     const peer::Bytes sealed = peer::seal(peer::encode(ask), keys_.front());
     http::Request request("POST", FeedPath, http::Fields().with("Host", kernel::text(where)),
                           std::string(sealed.begin(), sealed.end()));
-    const auto answer = co_await connection_.ask(std::move(request), {longest, longest, longest});
+    const auto answer = co_await connection_.ask(std::move(request), {timeout, timeout, timeout});
     if (!answer || answer->status != Good) {
         co_return std::nullopt;
     }
--- a/src/gateway/RelayClient.h
+++ b/src/gateway/RelayClient.h
@@ -1,6 +1,6 @@
 /** \file
- * The asking side of FeedRelay: one question at a time to another box of the hall, over a
- * connection that is kept for the next one.
+ * The client side of FeedRelay: asks another box of the hall, one question at a time, over a
+ * persistent connection.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace limereel::gateway {
 
-/** The caller. */
+/** A client of other boxes' FeedRelay. */
 class RelayClient
 {
 public:
@@ -23,15 +23,15 @@
     {
     }
 
-    /** Asks the box at \a where. Nothing if it can't be reached, doesn't answer within \a longest,
-     * or what it answers isn't authentic. */
+    /** Asks the box at \a where. Empty if it can't be reached, doesn't answer within \a timeout, or
+     * its answer isn't authentic. */
     boost::asio::awaitable<std::optional<peer::FeedAnswer>>
-    ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration longest);
+    ask(kernel::Endpoint where, peer::FeedAsk ask, kernel::Duration timeout);
 
-    /** Ends the connection, and with it the question that is under way. */
+    /** Closes the connection, which makes a running question fail. */
     void close() { connection_.close(); }
 
-    /** Whether something lies unread. */
+    /** Whether bytes have arrived that aren't read yet. */
     bool unread() const { return connection_.unread(); }
 
 private:
--- a/test/correctness/RelayTest.cpp
+++ b/test/correctness/RelayTest.cpp
@@ -1,7 +1,8 @@
-// Few boxes of a hall ask the store for all. Each decision by itself, and then all together over
-// seeded histories of cuts, freezes, lateness and restarts, against a plain record of what was in
-// the store when: no confirmation claims more than was true, no version goes back, and each box
-// that nothing has struck learns each version in time, whatever befalls the others.
+// Tests relaying: a few boxes of a hall ask the store for all boxes. First each decision by itself,
+// then a whole simulated hall over seeded histories of network cuts, stalls, late messages and
+// restarts, compared with a record of what the store held at each time: no confirmation claims more
+// than was true, no version goes back, and each box without a fault learns each version in time,
+// whatever happens to the others.
 
 #include "forward/Freshness.h"
 #include "gateway/FeedPaces.h"
@@ -49,7 +50,7 @@
     BOOST_TEST((order[2] == 1 || order[2] == 3 || order[2] == 5));
 }
 
-BOOST_AUTO_TEST_CASE(relayOrder_oneBoxGoes_theOthersKeepTheirOrder)
+BOOST_AUTO_TEST_CASE(relayOrder_oneBoxStops_theOthersKeepTheirOrder)
 {
     std::vector<store::RelayCandidate> live;
     for (std::uint64_t box = 1; box <= 60; ++box) {
@@ -64,7 +65,7 @@
 
 BOOST_AUTO_TEST_CASE(largestRelayed_slowLinkToSixtyBoxes_isWhatItSendsInTime)
 {
-    // 20 Mbit/s is 2.5 MB a second; 60 copies of 41 kB take just that.
+    // 20 Mbit/s is 2.5 MB a second, which is just enough for 60 copies of 41 kB.
     BOOST_TEST(store::largestRelayed(20, 60, 1.0) == 41666U);
     BOOST_TEST(store::largestRelayed(20, 0, 1.0) == 2500000U);
 }
@@ -96,7 +97,7 @@
     book.noteAsked(at(0s));
     BOOST_TEST(book.next(relays, 2, at(2s)).relaying);
     BOOST_TEST((book.next(relays, 2, at(4s)).kind == FeedStep::Kind::Relay));
-    // One that isn't in line passes on what it hears.
+    // A box that isn't one of the relays still asks a relay when it is asked itself.
     BOOST_TEST((book.next(relays, 9, at(1s)).kind == FeedStep::Kind::Relay));
 }
 
@@ -112,24 +113,24 @@
     BOOST_TEST(book.next(relays, 9, at(600ms)).relay == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(next_relayStaysSilent_isLookedAtLessAndLess)
+BOOST_AUTO_TEST_CASE(next_relayStaysSilent_isRetriedLessAndLessOften)
 {
     store::SourceBook book;
     const std::vector<std::uint64_t> relays = {1};
-    int looks = 0;
+    int attempts = 0;
     for (Duration since = 0ms; since < 20s; since += 10ms) {
         if (book.next(relays, 9, at(since), false).kind == FeedStep::Kind::Relay) {
             book.noteRelayFailed(1, store::RelayFault::Silent, at(since));
-            ++looks;
+            ++attempts;
         }
     }
-    BOOST_TEST(looks == 8); // At 0, 0.5, 1.5, 3.5, 7.5, 11.5, 15.5 and 19.5 s.
+    BOOST_TEST(attempts == 8); // At 0, 0.5, 1.5, 3.5, 7.5, 11.5, 15.5 and 19.5 s.
 }
 
-// 295 boxes in five halls lose the store for eight seconds. Relays and those in line look for it
-// twice a second and more often, the others a few times: some four calls for each box in place of
-// some 20.
-BOOST_AUTO_TEST_CASE(next_storeIsDownForAllOfAHall_fewCallsTellIt)
+// One of five halls, with 295 boxes in all, that lose the store for eight seconds. Relays retry it
+// at least twice a second and the other boxes only a few times: about four calls for each box
+// instead of about 20.
+BOOST_AUTO_TEST_CASE(next_storeIsDownForAWholeHall_fewCallsAreMade)
 {
     constexpr std::uint64_t Boxes = 59;
     const std::vector<std::uint64_t> relays = {1, 2, 3};
@@ -157,7 +158,7 @@
 
 BOOST_AUTO_TEST_SUITE(ObjectHistoryTest)
 
-BOOST_AUTO_TEST_CASE(since_changesAndDeparture_areToldToThoseWhoLackThem)
+BOOST_AUTO_TEST_CASE(since_changesAndRemoval_areSentToAskersThatLackThem)
 {
     store::ObjectHistory history;
     history.replace({object("a", 3), object("b", 4)}, 10, at(0s));
@@ -170,7 +171,7 @@
     BOOST_TEST((late.told == at(2s)));
     BOOST_TEST(history.since(10).objects.size() == 2U);
     BOOST_TEST(!history.since(10).whole);
-    // Before the first list nothing can be told apart.
+    // Changes before the first list aren't known, so everything is sent.
     BOOST_TEST(history.since(9).whole);
     BOOST_TEST(history.since(9).objects.size() == 1U);
 }
@@ -184,9 +185,10 @@
     BOOST_TEST(!history.hasNewsSince(11));
 }
 
-// The load: a hundred boxes listed 3,000 servers as the fleet started, their relay a moment later.
-// Names of what they know are all they need, with what is new.
-BOOST_AUTO_TEST_CASE(since_askerListedAMomentEarlier_knownContentsAreLeftOut)
+// At the start of a fleet a hundred boxes list 3,000 servers, and their relay does so a moment
+// later. The boxes then need only the names of the objects that they have already, and the contents
+// of new ones.
+BOOST_AUTO_TEST_CASE(since_askerListedSlightlyEarlier_knownContentsAreLeftOut)
 {
     std::vector<store::KeptObject> servers;
     for (std::uint64_t number = 1; number <= 3000; ++number) {
@@ -206,11 +208,11 @@
     BOOST_TEST_REQUIRE(merged.has_value());
     BOOST_TEST(merged->changes.size() == 2U);
     BOOST_TEST(merged->all.size() == 2999U);
-    // Somebody who doesn't know them after all asks for everything.
+    // A box that doesn't have the left-out contents can't merge the list and asks for everything.
     BOOST_TEST(!store::ObjectHistory().merge(news.objects).has_value());
 }
 
-// Between two lists an object may have come and gone that only the asker knows.
+// Between two lists an object may have been created and removed that only the asking box knows.
 BOOST_AUTO_TEST_CASE(since_askerIsBetweenTwoLists_getsEverything)
 {
     store::ObjectHistory history;
@@ -233,29 +235,29 @@
     BOOST_TEST(history.since(0).objects[0].revision == 12U);
 }
 
-// Any asker, wherever it stands, ends with what the store holds.
-BOOST_DATA_TEST_CASE(since_randomHistories_askerEndsWithTheTruth,
+// An asking box ends with the store's state, whatever revision it starts from.
+BOOST_DATA_TEST_CASE(since_randomHistories_askerEndsWithTheStoresState,
                      boost::unit_test::data::xrange(50), seed)
 {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-    std::map<std::string, std::uint64_t> truth;
-    std::vector<std::map<std::string, std::uint64_t>> truths = {truth};
-    std::vector<std::string> touched = {""}; // By each revision.
+    std::map<std::string, std::uint64_t> current;
+    std::vector<std::map<std::string, std::uint64_t>> states = {current};
+    std::vector<std::string> changedNames = {""}; // Name that each revision changed.
     for (std::uint64_t revision = 1; revision <= 200; ++revision) {
         const std::string name = "s" + std::to_string(random() % 12);
         if (random() % 3 == 0) {
-            truth.erase(name);
+            current.erase(name);
         } else {
-            truth[name] = revision;
+            current[name] = revision;
         }
-        truths.push_back(truth);
-        touched.push_back(name);
+        states.push_back(current);
+        changedNames.push_back(name);
     }
     store::ObjectHistory history;
     std::uint64_t known = 1 + random() % 20;
     const auto listing = [&](std::uint64_t revision) {
         std::vector<store::KeptObject> objects;
-        for (const auto &[name, changed] : truths[revision]) {
+        for (const auto &[name, changed] : states[revision]) {
             objects.push_back(object(name, changed));
         }
         return objects;
@@ -266,12 +268,12 @@
         if (random() % 3 == 0) {
             history.replace(listing(next), next, at(0s));
         } else {
-            // A watch tells of each object that was touched, also of one that came and went.
+            // A watch reports each changed object, also one that was created and removed again.
             std::vector<store::KeptObject> changes;
             for (std::uint64_t revision = known + 1; revision <= next; ++revision) {
-                const auto place = truths[next].find(touched[revision]);
-                const bool gone = place == truths[next].end();
-                changes.push_back({.name = touched[revision],
+                const auto place = states[next].find(changedNames[revision]);
+                const bool gone = place == states[next].end();
+                changes.push_back({.name = changedNames[revision],
                                    .revision = gone ? revision : place->second,
                                    .gone = gone});
             }
@@ -279,18 +281,18 @@
         }
         known = next;
         const std::uint64_t asker = random() % 201;
-        auto state = truths[asker];
+        auto state = states[asker];
         const store::FeedNews news = history.since(asker);
         std::vector<store::KeptObject> changes = news.objects;
         if (news.whole) {
-            // The asker keeps a history too, and fills in what was left out for it.
+            // The asking box has a history too, from which it fills in the left-out contents.
             store::ObjectHistory own;
             if (asker > 0) {
                 own.replace(listing(asker), asker, at(0s));
             }
             const auto merged = own.merge(news.objects);
             BOOST_TEST_REQUIRE(merged.has_value());
-            BOOST_TEST(merged->all.size() == truths[known].size());
+            BOOST_TEST(merged->all.size() == states[known].size());
             BOOST_TEST(std::ranges::none_of(merged->all, &store::KeptObject::unchanged));
             changes = merged->changes;
         }
@@ -301,7 +303,7 @@
                 state[changed.name] = changed.revision;
             }
         }
-        BOOST_TEST((state == truths[std::max(known, asker)]));
+        BOOST_TEST((state == states[std::max(known, asker)]));
     }
 }
 
@@ -347,7 +349,7 @@
     BOOST_TEST((peer::forAsker(at(5s), -2) == at(4998ms)));
 }
 
-BOOST_AUTO_TEST_CASE(judge_answerOfARelay_isTakenOnlyForItsQuestionAndWhileYoung)
+BOOST_AUTO_TEST_CASE(judge_answerOfARelay_isAcceptedOnlyForItsQuestionAndWhileFresh)
 {
     const peer::FeedAsk ask{5, "config", 17, 0, false};
     peer::FeedRecord record;
@@ -360,7 +362,8 @@
     record.replace({object("main", 17)}, 17, at(0s));
     record.confirm(at(0s));
     const peer::FeedAnswer answer = record.answer(ask, at(1s), 1000);
-    // The relay's clock says 1 s, the asker's 500 s; it asked then and hears at once or late.
+    // The relay's clock shows 1 s and the asking box's 500 s. The box asks at 500 s and receives
+    // the answer at once or seconds later.
     BOOST_TEST((judged(answer, ask, at(500s), at(500s)) == peer::Verdict::Good));
     BOOST_TEST((judged(answer, ask, at(500s), at(502s)) == peer::Verdict::Good));
     BOOST_TEST((judged(answer, ask, at(500s), at(503s)) == peer::Verdict::Old));
@@ -371,16 +374,17 @@
     const peer::FeedAsk newcomer{7, "config", 0, 0, false};
     const peer::FeedAnswer lost = record.answer(newcomer, at(1s), 1000);
     BOOST_TEST((judged(lost, newcomer, at(500s), at(500s)) == peer::Verdict::Lost));
-    // What it knows is told all the same, with its age.
+    // A relay that has lost the store still sends what it knows, with its age.
     BOOST_TEST(lost.objects.size() == 1U);
     BOOST_TEST(*lost.confirmedMs == -1000);
-    // To somebody who asks for everything since its history was lost, but has known more, all of it
-    // would be a step back.
+    // For a box that asks for everything because it lost its history, but has known a newer
+    // revision, this answer would be a step back.
     BOOST_TEST((judged(lost, newcomer, at(500s), at(500s), 18) == peer::Verdict::Behind));
 }
 
-// Boxes of a fleet that lost the store for two seconds, with its history, each read 50 pages.
-BOOST_AUTO_TEST_CASE(leavesListToRelays_eachNeed_isLeftForAWhileWhereOthersReadIt)
+// Guards against load on the store: after the store and its history were lost for two seconds, each
+// box of a fleet read the whole list of 50 pages.
+BOOST_AUTO_TEST_CASE(leavesListToRelays_eachNeed_waitsOnlyWhileARelayMayReadIt)
 {
     using store::leavesListToRelays;
     const store::ListNeed lost{.known = true, .relaysKnown = true, .historyLost = at(0s)};
@@ -392,21 +396,21 @@
     store::ListNeed alone = lost;
     alone.relaysKnown = false;
     BOOST_TEST(!leavesListToRelays(alone, at(0s)));
-    // One that has read the first page of many.
+    // A box that has read the first of many pages.
     const store::ListNeed started{.relaysKnown = true, .firstPage = at(0s)};
     BOOST_TEST(leavesListToRelays(started, at(1900ms)));
     BOOST_TEST(!leavesListToRelays(started, at(2s)));
-    // Before anybody has answered it, and where nobody does.
+    // A box that doesn't know yet whether its hall has relays waits only briefly.
     const store::ListNeed first{.firstPage = at(0s)};
     BOOST_TEST(leavesListToRelays(first, at(400ms)));
     BOOST_TEST(!leavesListToRelays(first, at(500ms)));
     BOOST_TEST(!leavesListToRelays({.known = true, .firstPage = at(0s)}, at(0s)));
-    // A short list, or none.
+    // The list is short, or none is needed.
     BOOST_TEST(!leavesListToRelays({.known = true, .relaysKnown = true}, at(0s)));
 }
 
-// Half a hall of 200 boxes starts again and asks for the list of ten thousand servers, which took
-// 400 MB of a relay with 1,024 MB, and of one with 160 MB.
+// Half of a hall of 200 boxes restarts and asks for the list of ten thousand servers. Without a
+// limit that took 400 MB of memory, both at a relay with 1,024 MB and at one with 160 MB.
 BOOST_AUTO_TEST_CASE(answerRoom_halfAHallAsksForALargeList_relayHoldsWhatItsLinkSends)
 {
     constexpr std::size_t List = 4000000;
@@ -423,7 +427,7 @@
     BOOST_TEST(granted(0) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(answerRoom_small_isNeverTurnedAwayAndAllIsGivenBack)
+BOOST_AUTO_TEST_CASE(answerRoom_small_isNeverRefusedAndAllIsReleased)
 {
     store::AnswerRoom room(20);
     BOOST_TEST(room.take(4000000));
@@ -444,7 +448,7 @@
     BOOST_TEST_REQUIRE(answer.objects.size() == 1U);
     BOOST_TEST(answer.objects[0].large);
     BOOST_TEST(answer.objects[0].text.empty());
-    // One that can't reach the store is given it all the same.
+    // A box that can't reach the store receives the large object from the relay.
     BOOST_TEST(!record.answer({1, "config", 0, 0, true}, at(0s), 1000).objects[0].large);
 }
 
@@ -454,12 +458,12 @@
 
 constexpr std::size_t HallBoxes = 8;
 
-/** The bounds of what a simulated hall follows, and the paces that are to keep them. */
+/** The bounds that a simulated hall has to keep, and the timings that should ensure them. */
 struct HallBounds
 {
-    Duration usableFor = 4400ms; ///< Age of a confirmation; zero: no matter.
-    Duration knownIn = 4s;       ///< Time in which each untouched box knows a change.
-    Duration contact = 5s;       ///< A trouble this long ago still excuses.
+    Duration usableFor = 4400ms; ///< Longest valid age of a confirmation; zero: not checked.
+    Duration knownWithin = 4s;   ///< Time within which each box without a fault knows a change.
+    Duration contact = 5s;       ///< Time after a fault during which a box may still be late.
     Duration oldestHeard = store::oldestHeard(4400ms);
     store::FeedPace alone;
     store::FeedPace relaying;
@@ -473,11 +477,11 @@
     bounds.alone.confirmWithin = 4s;
     bounds.alone.giveUpWithin = 4600ms;
     bounds.alone.afterChange = 1s;
-    bounds.relaying = store::relayPace(bounds.alone, {bounds.usableFor, bounds.knownIn});
+    bounds.relaying = store::relayPace(bounds.alone, {bounds.usableFor, bounds.knownWithin});
     return bounds;
 }
 
-// The paces that the gateway works out, for a bound of 5 s where a trouble excuses for 4 s.
+// The timings that the gateway computes for a bound of 5 s and a contact time of 4 s.
 HallBounds drainBounds()
 {
     kernel::GatewaySettings settings;
@@ -486,7 +490,7 @@
     const gateway::FeedPaces paces = gateway::hallDrainPaces(settings);
     HallBounds bounds;
     bounds.usableFor = 0s;
-    bounds.knownIn = settings.hallDrainWithin;
+    bounds.knownWithin = settings.hallDrainWithin;
     bounds.contact = settings.contact;
     bounds.oldestHeard = paces.oldestHeard;
     bounds.alone = paces.alone;
@@ -495,9 +499,9 @@
 }
 
 /**
- * A hall over one store that holds a single object whose text is its version. Time is simulated;
- * each box has a clock of its own that is off by minutes. What a box does between two decisions is
- * what the service does: a call at a time, given up after the waits of store/FeedPace.h.
+ * A simulated hall and a store with a single object whose text is its version. Time is simulated;
+ * each box has its own clock, which is off by minutes. Between two decisions a box does what the
+ * service does: it makes one call at a time, with the timeouts of store/FeedPace.h.
  */
 class SimulatedHall
 {
@@ -508,7 +512,7 @@
         , alone_(bounds.alone)
         , relaying_(bounds.relaying)
     {
-        committed_ = {0s, 0s}; // Version 0 is none.
+        committed_ = {0s, 0s}; // Version 0 means none.
         for (std::size_t index = 0; index < HallBoxes; ++index) {
             relays_.push_back(index + 1);
         }
@@ -528,16 +532,16 @@
             Box &box = boxes_[event.box];
             if (event.box < HallBoxes && now_ < box.frozenUntil) {
                 push(box.frozenUntil, event);
-            } else if (event.box >= HallBoxes || event.life == box.life) {
+            } else if (event.box >= HallBoxes || event.incarnation == box.incarnation) {
                 event.act();
             }
         }
     }
 
-    void scheduleTroubles(Duration until)
+    void scheduleFaults(Duration until)
     {
         for (Duration when = 6s; when < until; when += milliseconds(50, 2500)) {
-            atTime(when, [this] { strike(); });
+            atTime(when, [this] { injectFault(); });
         }
         for (Duration when = 3s; when < until; when += milliseconds(20, 4000)) {
             atTime(when, [this] { commit(); });
@@ -554,37 +558,37 @@
         committed_.push_back(now_);
         const std::uint64_t version = committed_.size() - 1;
         wakeWatches();
-        atTime(now_ + bounds_.knownIn, [this, version] { checkKnown(version); });
+        atTime(now_ + bounds_.knownWithin, [this, version] { checkKnown(version); });
     }
 
     void freeze(std::size_t index, Duration longest)
     {
         Box &box = boxes_[index];
         box.frozenUntil = std::max(box.frozenUntil, now_ + longest);
-        box.struck = std::max(box.struck, box.frozenUntil);
+        box.faultUntil = std::max(box.faultUntil, box.frozenUntil);
     }
 
     void cutFromStore(std::size_t index, Duration longest)
     {
         boxes_[index].noStoreUntil = now_ + longest;
-        boxes_[index].struck = std::max(boxes_[index].struck, now_ + longest);
+        boxes_[index].faultUntil = std::max(boxes_[index].faultUntil, now_ + longest);
     }
 
     void cutFromBoxes(std::size_t index, Duration longest)
     {
         boxes_[index].noBoxesUntil = now_ + longest;
-        boxes_[index].struck = std::max(boxes_[index].struck, now_ + longest);
+        boxes_[index].faultUntil = std::max(boxes_[index].faultUntil, now_ + longest);
     }
 
     void restart(std::size_t index)
     {
         Box &box = boxes_[index];
-        const std::uint64_t life = box.life + 1;
+        const std::uint64_t incarnation = box.incarnation + 1;
         const Duration offset = box.offset;
         box = Box();
-        box.life = life;
+        box.incarnation = incarnation;
         box.offset = offset;
-        box.struck = now_;
+        box.faultUntil = now_;
         after(milliseconds(0, 1500), index, [this, index] { round(index); });
     }
 
@@ -603,7 +607,7 @@
         Duration when;
         std::uint64_t order;
         std::size_t box;
-        std::uint64_t life;
+        std::uint64_t incarnation;
         std::function<void()> act;
 
         bool operator<(const Event &other) const
@@ -615,7 +619,7 @@
     struct Held
     {
         std::size_t asker;
-        std::uint64_t askerLife;
+        std::uint64_t askerIncarnation;
         peer::FeedAsk ask;
         Instant question;
         std::uint64_t number;
@@ -626,15 +630,16 @@
         store::SourceBook book;
         peer::FeedRecord record;
         forward::Freshness freshness{4400ms, forward::UnconfirmedKeys::Refuse};
-        std::uint64_t life = 0;
-        std::uint64_t call = 0; ///< The call that runs; answers to earlier ones are dropped.
+        std::uint64_t incarnation = 0;
+        std::uint64_t call =
+                0; ///< Number of the running call; answers to earlier ones are dropped.
         std::uint64_t version = 0;
         bool failing = false;
         Duration offset{};
         Duration frozenUntil{};
         Duration noStoreUntil{};
         Duration noBoxesUntil{};
-        Duration struck{};
+        Duration faultUntil{};
         std::vector<Held> held;
         std::optional<peer::FeedAsk> asking;
         Instant asked;
@@ -644,7 +649,7 @@
     struct Watch
     {
         std::size_t box;
-        std::uint64_t life;
+        std::uint64_t incarnation;
         std::uint64_t call;
         std::uint64_t at;
         Instant asked;
@@ -657,8 +662,11 @@
                 std::uniform_int_distribution<std::int64_t>(least, most)(random_));
     }
 
-    // A message is mostly quick, now and then seconds late.
-    Duration way() { return random_() % 50 == 0 ? milliseconds(100, 3000) : milliseconds(1, 20); }
+    // The delay of a message: mostly short, occasionally seconds.
+    Duration messageDelay()
+    {
+        return random_() % 50 == 0 ? milliseconds(100, 3000) : milliseconds(1, 20);
+    }
 
     Instant clockOf(const Box &box) const { return Instant(box.offset + now_); }
 
@@ -671,11 +679,11 @@
 
     void after(Duration delay, std::size_t index, std::function<void()> act)
     {
-        const std::uint64_t life = index < HallBoxes ? boxes_[index].life : 0;
-        push(now_ + delay, {now_, 0, index, life, std::move(act)});
+        const std::uint64_t incarnation = index < HallBoxes ? boxes_[index].incarnation : 0;
+        push(now_ + delay, {now_, 0, index, incarnation, std::move(act)});
     }
 
-    void strike()
+    void injectFault()
     {
         const std::size_t index = random_() % 2 == 0 ? random_() % 3 : random_() % HallBoxes;
         switch (random_() % 5) {
@@ -717,10 +725,10 @@
         const bool watches = box.record.at() && !box.failing;
         const store::FeedPace &pace = relaying ? relaying_ : alone_;
         const Duration wait = watches ? store::watchWait(pace, 4ms) : Duration(0);
-        const Watch watch{index,        box.life, box.call, box.record.at().value_or(0),
+        const Watch watch{index,        box.incarnation, box.call, box.record.at().value_or(0),
                           clockOf(box), relaying};
         const std::uint64_t call = box.call;
-        after(wait + 900ms, index, [this, index, call] { storeFails(index, call); });
+        after(wait + 900ms, index, [this, index, call] { onStoreFailure(index, call); });
         if (now_ < box.noStoreUntil) {
             return;
         }
@@ -746,7 +754,8 @@
     void endWatch(const Watch &watch)
     {
         const auto same = [&](const Watch &other) {
-            return other.box == watch.box && other.life == watch.life && other.call == watch.call;
+            return other.box == watch.box && other.incarnation == watch.incarnation
+                   && other.call == watch.call;
         };
         if (std::erase_if(watches_, same) > 0) {
             answerFromStore(watch);
@@ -757,7 +766,7 @@
     {
         const std::uint64_t version = committed_.size() - 1;
         const std::size_t index = watch.box;
-        if (now_ < boxes_[index].noStoreUntil || watch.life != boxes_[index].life) {
+        if (now_ < boxes_[index].noStoreUntil || watch.incarnation != boxes_[index].incarnation) {
             return;
         }
         after(milliseconds(1, 8), index, [this, watch, version, index] {
@@ -776,7 +785,7 @@
         });
     }
 
-    void storeFails(std::size_t index, std::uint64_t call)
+    void onStoreFailure(std::size_t index, std::uint64_t call)
     {
         Box &box = boxes_[index];
         if (box.call != call) {
@@ -800,15 +809,15 @@
         box.asked = clockOf(box);
         box.relay = step.relay;
         const std::uint64_t call = box.call;
-        const std::uint64_t life = box.life;
+        const std::uint64_t incarnation = box.incarnation;
         const std::size_t relay = step.relay - 1;
         after(std::chrono::milliseconds(hold) + store::RelayAnswer, index,
-              [this, index, call] { relayFails(index, call, store::RelayFault::Silent); });
+              [this, index, call] { onRelayFailure(index, call, store::RelayFault::Silent); });
         if (cut(index, relay)) {
             return;
         }
-        after(way(), relay, [this, index, life, call, ask, relay] {
-            takeAsk(relay, {index, life, ask, clockOf(boxes_[relay]), call});
+        after(messageDelay(), relay, [this, index, incarnation, call, ask, relay] {
+            takeAsk(relay, {index, incarnation, ask, clockOf(boxes_[relay]), call});
         });
     }
 
@@ -860,18 +869,19 @@
     {
         const peer::FeedRecord &record = boxes_[relay].record;
         const peer::FeedAnswer answer = record.answer(held.ask, held.question, 100000);
-        // What is encoded once for all says the same.
+        // The cached encoding must contain the same answer.
         const auto encoded = record.encodedAnswer(held.ask, held.question, 100000);
         BOOST_REQUIRE((peer::decodeFeedAnswer(encoded.bytes) == answer));
         BOOST_REQUIRE(encoded.news == !answer.objects.empty());
-        // Now and then an answer comes twice.
+        // Occasionally an answer arrives twice.
         for (std::uint64_t copies = random_() % 20 == 0 ? 2 : 1; copies > 0; --copies) {
-            const Duration delay = way();
-            push(now_ + delay, {now_, 0, held.asker, held.askerLife, [this, relay, held, answer] {
-                                    if (!cut(held.asker, relay)) {
-                                        takeAnswer(held.asker, held.number, answer);
-                                    }
-                                }});
+            const Duration delay = messageDelay();
+            push(now_ + delay,
+                 {now_, 0, held.asker, held.askerIncarnation, [this, relay, held, answer] {
+                      if (!cut(held.asker, relay)) {
+                          takeAnswer(held.asker, held.number, answer);
+                      }
+                  }});
         }
     }
 
@@ -885,7 +895,7 @@
                 peer::judge(answer, {*box.asking, box.asked, clockOf(box),
                                      box.record.at().value_or(0), bounds_.oldestHeard});
         if (verdict != peer::Verdict::Good) {
-            return relayFails(index, call, store::RelayFault::Lost);
+            return onRelayFailure(index, call, store::RelayFault::Lost);
         }
         box.book.noteRelayAnswered(box.relay);
         take(index, answer.at, answer.objects, answer.whole);
@@ -893,7 +903,7 @@
         round(index);
     }
 
-    void relayFails(std::size_t index, std::uint64_t call, store::RelayFault fault)
+    void onRelayFailure(std::size_t index, std::uint64_t call, store::RelayFault fault)
     {
         Box &box = boxes_[index];
         if (box.call == call) {
@@ -922,16 +932,16 @@
         answerHeld(index);
     }
 
-    // Whatever was in the store before the confirmed moment must be known.
+    // Checks that the box knows everything that was in the store before the confirmed time.
     void confirm(std::size_t index, Instant asOf)
     {
         Box &box = boxes_[index];
         box.record.confirm(asOf);
         box.freshness.confirm(asOf);
-        const Duration truth = asOf.time_since_epoch() - box.offset;
+        const Duration trueTime = asOf.time_since_epoch() - box.offset;
         std::uint64_t newest = 0;
         for (std::uint64_t version = 0; version < committed_.size(); ++version) {
-            newest = committed_[version] < truth ? version : newest;
+            newest = committed_[version] < trueTime ? version : newest;
         }
         ++confirmations;
         wrongConfirmations += newest > box.version ? 1 : 0;
@@ -941,8 +951,8 @@
     {
         for (std::size_t index = 0; index < HallBoxes; ++index) {
             const Box &box = boxes_[index];
-            const bool untouched = box.struck + bounds_.contact < now_ - bounds_.knownIn;
-            if (!untouched) {
+            const bool healthy = box.faultUntil + bounds_.contact < now_ - bounds_.knownWithin;
+            if (!healthy) {
                 continue;
             }
             ++checks;
@@ -956,8 +966,9 @@
     store::FeedPace alone_;
     store::FeedPace relaying_;
     std::vector<std::uint64_t> relays_;
-    std::array<Box, HallBoxes + 1> boxes_; ///< The last one stands for the store and the script.
-    std::vector<Duration> committed_;      ///< When each version was taken by the store.
+    std::array<Box, HallBoxes + 1>
+            boxes_;                   ///< The last one stands for the store and scheduled events.
+    std::vector<Duration> committed_; ///< When each version was written to the store.
     std::vector<Watch> watches_;
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0;
@@ -972,7 +983,7 @@
                      boost::unit_test::data::xrange(60), seed)
 {
     SimulatedHall hall(static_cast<std::uint64_t>(seed));
-    hall.scheduleTroubles(60s);
+    hall.scheduleFaults(60s);
     hall.run(70s);
     BOOST_TEST(hall.confirmations > 200U);
     BOOST_TEST(hall.knownInTime > 10U);
@@ -981,12 +992,13 @@
     BOOST_TEST(hall.lateVersions == 0U);
 }
 
-// A drained hall must be known in its bound however its news travels. Alike for 200 histories.
-BOOST_DATA_TEST_CASE(hallDrains_boxesAreCutFrozenAndRestarted_eachUntouchedBoxKnowsInTime,
+// Each box must know the drain of a hall within the bound, whether it learns it from the store or
+// from a relay. Checked over 200 histories.
+BOOST_DATA_TEST_CASE(hallDrains_boxesAreCutFrozenAndRestarted_eachHealthyBoxKnowsInTime,
                      boost::unit_test::data::xrange(200), seed)
 {
     SimulatedHall hall(static_cast<std::uint64_t>(seed) + 1000, drainBounds());
-    hall.scheduleTroubles(60s);
+    hall.scheduleFaults(60s);
     hall.run(70s);
     BOOST_TEST(hall.knownInTime > 10U);
     BOOST_TEST(hall.versionsGoneBack == 0U);
@@ -997,8 +1009,8 @@
 {
     SimulatedHall hall(1);
     hall.run(60s);
-    // Eight boxes that watch for two seconds each would call 240 times; the relay alone calls some
-    // 70 times. Late messages make some boxes turn to others for a while.
+    // Eight boxes with watches of two seconds would make 240 calls; the relay alone makes about 70.
+    // Late messages make some boxes use other sources for a while.
     BOOST_TEST_MESSAGE(hall.storeCalls << " calls in 60 s");
     BOOST_TEST(hall.storeCalls < 125U);
 }
