--- a/src/gateway/FleetView.cpp
+++ b/src/gateway/FleetView.cpp
@@ -15,22 +15,22 @@
 
 namespace {
 
-constexpr kernel::Duration SweepEvery = 100ms;
-// A sweep that comes so late tells of a standstill.
-constexpr kernel::Duration Standstill = 50ms;
-// A change is taken in within a few turns of the loop, a list of thousands of servers within some
-// hundred. A store that keeps sending must not hold requests up.
-constexpr int MostTurns = 1000;
-// Of one answer of the store. A box that starts in a fleet of ten thousand servers would write a
-// line for each while it could take requests.
-constexpr std::size_t MostNewTold = 16;
-// Beats that a backend server which still lives needs to be listed again after an outage.
-constexpr int BeatsToReturn = 2;
-// A box whose hall doesn't tell it which halls are drained asks the store itself, after this: in
-// the first seconds nobody in its hall may know yet, and all would ask.
-constexpr kernel::Duration DrainsFromHall = 4s;
-// A quarter of the time in which a configuration must be in force goes by while a relay sends it.
-constexpr double RelayedWithinPart = 0.25;
+constexpr kernel::Duration SweepInterval = 100ms;
+// A sweep that is late by this much means that the process stalled.
+constexpr kernel::Duration MinStall = 50ms;
+// Turns of the event loop to wait at most. A change is processed within a few turns, a list of
+// thousands of servers within some hundred. A store that keeps sending must not block requests.
+constexpr int MaxLoopTurns = 1000;
+// Log lines for new servers per answer of the store. A box that starts in a fleet of ten thousand
+// servers would otherwise write a line for each instead of serving requests.
+constexpr std::size_t MaxServerLogLines = 16;
+// Heartbeats after which a backend server that is alive is listed again after an outage.
+constexpr int BeatsToRelist = 2;
+// A box that can't learn the drained halls from its own hall asks the store, but not before this
+// time: in the first seconds no box in its hall may know them yet, and all would ask at once.
+constexpr kernel::Duration HallDrainGrace = 4s;
+// Share of the time in which a configuration must be in force that a relay may take to send it.
+constexpr double RelayTimeFraction = 0.25;
 
 const kernel::Log &log()
 {
@@ -54,21 +54,21 @@
     return policy;
 }
 
-/** How a state of trust is named in counters and logs. */
-struct TrustWords
+/** The name and log sentence of a KeyTrust. */
+struct TrustText
 {
     const char *name;
     const char *sentence;
 };
 
-TrustWords wordsOf(KeyTrust trust)
+TrustText trustText(KeyTrust trust)
 {
     switch (trust) {
     case KeyTrust::Fresh:
         return {"fresh", "The configuration is confirmed; keys are honoured."};
     case KeyTrust::Unconfirmed:
-        return {"unconfirmed", "The configuration wasn't confirmed in time; keys go on by the last "
-                               "one that is known."};
+        return {"unconfirmed", "The configuration wasn't confirmed in time; keys are honoured by "
+                               "the last known one."};
     case KeyTrust::Stale:
         break;
     }
@@ -81,7 +81,7 @@
 {
     const kernel::Duration bound = settings.drainWithin * 3 / 4;
     const kernel::Duration gathered = serverPaces(settings).alone.afterChange;
-    return std::min<kernel::Duration>(settings.listBeat * BeatsToReturn, bound - gathered);
+    return std::min<kernel::Duration>(settings.listBeat * BeatsToRelist, bound - gathered);
 }
 
 FleetView::FleetView(services::Context &context, Adapter adapter)
@@ -99,7 +99,7 @@
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     sources_ = std::make_unique<FeedSources>(context_, fewestRelayed(settings));
     FeedHooks configurationHooks;
-    configurationHooks.changed = [this](auto objects) { takeConfiguration(objects); };
+    configurationHooks.changed = [this](auto objects) { applyConfiguration(objects); };
     configurationHooks.confirmed = [this](kernel::Instant asOf) {
         if (snapshot_) {
             freshness_.confirm(asOf);
@@ -115,7 +115,7 @@
     serverHooks.changed = [this](auto objects) { changeServers(objects); };
     serverHooks.listComplete = [this](const auto &names) { dropUnlistedServers(names); };
     serverHooks.confirmed = [](kernel::Instant) {};
-    // One look of a box whose relays don't help is enough.
+    // If no relay works, only the configuration feed tests whether the store answers.
     serverHooks.storeAllowed = [this] { return configurationFeed_->heardFromStore(); };
     serverFeed_ =
             std::make_unique<ObjectFeed>(context_, adapter_.store, adapter_.serverKind,
@@ -137,7 +137,7 @@
     hooks.listComplete = [this](const auto &names) { endUnlistedDrains(names); };
     hooks.confirmed = [](kernel::Instant) {};
     hooks.storeAllowed = [this] {
-        return configurationFeed_->heardFromStore() && context_.now() - started_ >= DrainsFromHall;
+        return configurationFeed_->heardFromStore() && context_.now() - started_ >= HallDrainGrace;
     };
     hallDrainFeed_ =
             std::make_unique<ObjectFeed>(context_, adapter_.store, adapter_.hallDrainKind,
@@ -167,22 +167,23 @@
 {
     const kernel::GatewaySettings &settings = context_.settings.gateway;
     return store::largestRelayed(settings.linkMbps, sources_->hallBoxes(),
-                                 kernel::seconds(settings.applyWithin) * RelayedWithinPart);
+                                 kernel::seconds(settings.applyWithin) * RelayTimeFraction);
 }
 
-bool FleetView::stoodStill() const
+bool FleetView::stalled() const
 {
-    return caughtUpAt_ && context_.now() - *caughtUpAt_ >= SweepEvery + Standstill;
+    return caughtUpAt_ && context_.now() - *caughtUpAt_ >= SweepInterval + MinStall;
 }
 
 asio::awaitable<void> FleetView::catchUp()
 {
-    if (!catchingUp_ && !stoodStill()) {
+    if (!catchingUp_ && !stalled()) {
         co_return;
     }
     catchingUp_ = true;
-    for (int turns = 0; turns < MostTurns && catchingUp_; ++turns) {
-        // First, as bytes may have been taken from the socket and wait for their handler.
+    for (int turns = 0; turns < MaxLoopTurns && catchingUp_; ++turns) {
+        // Runs before the check, because bytes already read from the socket may wait for their
+        // handler.
         co_await asio::post(context_.io, asio::use_awaitable);
         const bool drainsBehind = hallDrainFeed_ && hallDrainFeed_->hasUnprocessed();
         catchingUp_ = catchingUp_ && serverFeed_ && (serverFeed_->hasUnprocessed() || drainsBehind);
@@ -199,7 +200,7 @@
     dropMissing();
     coldStarts_.expire(*caughtUpAt_);
     noteFreshness();
-    co_return kernel::Duration(SweepEvery);
+    co_return kernel::Duration(SweepInterval);
 }
 
 void FleetView::applySettings()
@@ -220,9 +221,9 @@
     return snapshot_ && serversKnown_ && freshness_.usable(context_.now());
 }
 
-// Of several versions in one answer only the newest is read: each may hold thousands of routes, and
-// requests wait while one is read.
-void FleetView::takeConfiguration(std::span<const store::StoredObject> objects)
+// Parses only the newest of several versions in one answer: each may have thousands of routes, and
+// requests wait while one is parsed.
+void FleetView::applyConfiguration(std::span<const store::StoredObject> objects)
 {
     for (const store::StoredObject &object : objects | std::views::reverse) {
         if (object.name == adapter_.configurationName && !object.gone
@@ -261,23 +262,23 @@
     return true;
 }
 
-// An entry that can't be read names no server, also where an earlier one did.
-void FleetView::takeServer(const store::StoredObject &object)
+// An entry that can't be parsed counts as removed, even if an earlier version of it was valid.
+void FleetView::applyServer(const store::StoredObject &object)
 {
     const auto entry = adapter_.readServer(object);
     if (entry) {
-        takeEntry(*entry);
+        applyEntry(*entry);
         return;
     }
     context_.counters.add("servers_unreadable");
     log().event("server-unreadable", {{"server", object.name}, {"why", entry.error()}},
                 "The entry of a backend server can't be read; it names none.");
     if (servers_.find(object.name)) {
-        missServer(object.name);
+        markMissing(object.name);
     }
 }
 
-void FleetView::takeEntry(const forward::ServerEntry &entry)
+void FleetView::applyEntry(const forward::ServerEntry &entry)
 {
     const forward::ListedServer server = servers_.known(entry.server);
     const kernel::Instant now = context_.now();
@@ -287,25 +288,26 @@
         return;
     }
     missing_.erase(server.id);
-    const bool newLife = known && known->born != server.born;
-    if (newLife) {
-        // Nothing that is known of the earlier life holds for this one.
+    const bool newIncarnation = known && known->born != server.born;
+    if (newIncarnation) {
+        // The state of the previous incarnation doesn't apply to this one.
         dropServer(server.id);
     }
     if (!known && !server.leaving) {
         ++newServers_;
     }
-    const bool told = newServers_ <= MostNewTold || server.leaving || known;
-    if (told && (!known || *known != server)) {
+    const bool mayLog = newServers_ <= MaxServerLogLines || server.leaving || known;
+    if (mayLog && (!known || *known != server)) {
         log().event("server-listed",
                     {{"server", server.id},
                      {"service", server.service},
                      {"address", kernel::text(server.address)},
                      {"cold_ms", entry.coldFor / 1ms},
                      {"leaving", server.leaving}},
-                    server.leaving ? "A backend server leaves." : "A backend server takes work.");
+                    server.leaving ? "A backend server is shutting down."
+                                   : "A backend server accepts requests.");
     }
-    if (serversKnown_ && (!known || newLife)) {
+    if (serversKnown_ && (!known || newIncarnation)) {
         coldStarts_.noteStarted(server.hash(), now);
     }
     coldStarts_.noteTold(server.hash(), entry.coldFor, now);
@@ -343,21 +345,23 @@
     setDrainedHalls(std::move(halls));
 }
 
-// The servers of a hall that takes work again may have turned cold meanwhile.
+// The servers of a hall that takes requests again may have become cold in the meantime.
 void FleetView::setDrainedHalls(std::set<std::string> halls)
 {
     const kernel::Instant now = context_.now();
     for (const std::string &hall : halls) {
         if (!drainedHalls_.contains(hall)) {
             context_.counters.add("halls_drained");
-            log().event("hall-drained", {{"hall", hall}}, "A hall gets nothing new.");
+            log().event("hall-drained", {{"hall", hall}},
+                        "A hall is drained; it gets no new requests.");
         }
     }
     for (const std::string &hall : drainedHalls_) {
         if (halls.contains(hall)) {
             continue;
         }
-        log().event("hall-returned", {{"hall", hall}}, "A hall takes work again.");
+        log().event("hall-returned", {{"hall", hall}},
+                    "A hall is no longer drained; it gets new requests.");
         servers_.forEach([&](const forward::ListedServer &server) {
             if (server.hall == hall) {
                 coldStarts_.noteStarted(server.hash(), now);
@@ -370,14 +374,14 @@
 
 void FleetView::dropUnlistedServers(const std::set<std::string> &listed)
 {
-    std::vector<std::string> unlisted;
+    std::vector<std::string> delisted;
     servers_.forEach([&](const forward::ListedServer &server) {
         if (!listed.contains(server.id)) {
-            unlisted.push_back(server.id);
+            delisted.push_back(server.id);
         }
     });
-    for (const std::string &id : unlisted) {
-        missServer(id);
+    for (const std::string &id : delisted) {
+        markMissing(id);
     }
     serversKnown_ = true;
 }
@@ -387,20 +391,20 @@
     newServers_ = 0;
     for (const store::StoredObject &object : objects) {
         if (object.gone) {
-            missServer(object.name);
+            markMissing(object.name);
         } else {
-            takeServer(object);
+            applyServer(object);
         }
     }
-    if (newServers_ > MostNewTold) {
+    if (newServers_ > MaxServerLogLines) {
         log().event("servers-listed", {{"new", newServers_}, {"last", objects.back().name}},
                     "Many backend servers are new; the first of them have lines of their own.");
     }
 }
 
-// An entry may go because the store didn't hear its server while it was away. Then the server is
-// kept for as long as it needs to be listed again.
-void FleetView::missServer(const std::string &id)
+// An entry may disappear because the store missed its server's heartbeats during an outage. The
+// server is then kept for the time it needs to be listed again.
+void FleetView::markMissing(const std::string &id)
 {
     if (missing_.contains(id)) {
         return;
@@ -408,10 +412,10 @@
     const kernel::Instant now = context_.now();
     const auto &settings = context_.settings.gateway;
     const auto failure = serverFeed_ ? serverFeed_->lastFailure() : std::nullopt;
-    const bool storeWasAway = failure && now - *failure < settings.contact;
-    // The time counts from when the store's word came: this process may have stood still since.
-    const kernel::Instant told = serverFeed_ ? serverFeed_->reportedAt() : now;
-    missing_[id] = storeWasAway ? told + keptAfterOutage(settings) : now;
+    const bool storeHadOutage = failure && now - *failure < settings.contact;
+    // The time counts from when the store's answer arrived; the process may have stalled since.
+    const kernel::Instant reported = serverFeed_ ? serverFeed_->reportedAt() : now;
+    missing_[id] = storeHadOutage ? reported + keptAfterOutage(settings) : now;
     dropMissing();
 }
 
@@ -430,7 +434,7 @@
     }
 }
 
-// What keys are refused for must stand in the log: their requests name only the symptom.
+// Logs why keys are refused, because the refused requests show only the symptom.
 void FleetView::noteFreshness()
 {
     const kernel::Instant now = context_.now();
@@ -444,18 +448,18 @@
         return;
     }
     trust_ = trust;
-    const TrustWords words = wordsOf(trust);
-    context_.counters.add("freshness_changes", {{"to", words.name}});
+    const TrustText wording = trustText(trust);
+    context_.counters.add("freshness_changes", {{"to", wording.name}});
     const auto age = freshness_.age(now);
-    log().event(words.name,
+    log().event(wording.name,
                 {{"config_age_ms", age ? *age / 1ms : -1},
                  {"version", snapshot_ ? snapshot_->version() : 0}},
-                words.sentence);
+                wording.sentence);
 }
 
 void FleetView::dropServer(const std::string &id)
 {
-    log().event("server-gone", {{"server", id}}, "A backend server is listed no more.");
+    log().event("server-gone", {{"server", id}}, "A backend server is no longer listed.");
     const auto gone = servers_.find(id);
     servers_.remove(id);
     for (const auto &called : onServerGone_) {
--- a/src/gateway/FleetView.h
+++ b/src/gateway/FleetView.h
@@ -1,6 +1,6 @@
 /** \file
- * What a gateway knows of the world outside: the configuration in force and how fresh it is, the
- * backend servers, and the halls that are drained. Fed by the store.
+ * What a gateway knows of its fleet: the configuration in force and how fresh it is, the backend
+ * servers, and the drained halls. All of it comes from the store.
  */
 #pragma once
 
@@ -18,22 +18,23 @@
 
 namespace limereel::gateway {
 
-/** How far API keys are trusted. */
+/** Whether API keys are accepted. */
 enum class KeyTrust : std::uint8_t {
-    Fresh,       ///< The configuration was confirmed lately.
-    Unconfirmed, ///< It wasn't; keys are honoured all the same.
-    Stale        ///< It wasn't; keys are refused.
+    Fresh,       ///< The configuration was confirmed recently.
+    Unconfirmed, ///< It wasn't, but keys are still accepted.
+    Stale        ///< It wasn't, and keys are refused.
 };
 
 /**
- * How long a backend server is kept whose entry has gone soon after the store had been away: an
- * entry may lapse because the store didn't hear its server, and is back after some beats. It may
- * also have gone because the server leaves, so this and the time that changes are gathered for stay
- * within three quarters of the bound in which a leaving server must get its last request.
+ * How long a backend server is kept whose entry disappears soon after an outage of the store. The
+ * entry may have expired because the store missed the server's heartbeats, and is then back after
+ * some beats. It may also have been removed because the server shuts down, so this time and the
+ * time for which changes are collected stay within three quarters of the bound in which a server
+ * that shuts down must get its last request.
  */
 kernel::Duration keptAfterOutage(const kernel::GatewaySettings &settings);
 
-/** The service that follows the store. */
+/** Follows the store and keeps the resulting view of the fleet. */
 class FleetView : public kernel::Service
 {
 public:
@@ -48,7 +49,7 @@
     /** The feed of the objects of \a kind, or nullptr if none is followed. */
     ObjectFeed *feed(std::string_view kind);
 
-    /** Bytes of the largest object that this box passes on to those of its hall. */
+    /** Size in bytes of the largest object that this box passes on to other boxes of its hall. */
     std::size_t largestRelayed() const;
 
     /** The configuration in force; nullptr before the first one. */
@@ -60,45 +61,45 @@
     forward::ColdStarts &coldStarts() { return coldStarts_; }
 
     /**
-     * Lets the loop take in what the store has told of backend servers and still lies unread; at
-     * once, but after a standstill. To be awaited before acting on the list: a server may have
-     * left, or come back, while this process stood still.
+     * After a stall of this process, lets the event loop process what the store has sent about
+     * backend servers and drained halls; otherwise returns at once. To be awaited before using the
+     * list: a server may have shut down or come back while the process stalled.
      */
     boost::asio::awaitable<void> catchUp();
 
-    /** Takes the bounds of the settings anew. */
+    /** Applies changed bounds of the settings. */
     void applySettings();
 
-    /** Whether requests can be served: configuration and list are known, keys are honoured. */
+    /** Whether requests can be served: configuration and servers known, keys accepted. */
     bool ready() const;
 
-    /** Adds something that is called with each new configuration. */
+    /** Adds a callback for each new configuration. */
     void onConfiguration(std::function<void(const forward::Snapshot &)> called)
     {
         onConfiguration_.push_back(std::move(called));
     }
 
-    /** Adds something that is called when a backend server is listed no more. */
+    /** Adds a callback for each backend server that is no longer listed. */
     void onServerGone(std::function<void(const forward::ListedServer &)> called)
     {
         onServerGone_.push_back(std::move(called));
     }
 
 private:
-    void takeConfiguration(std::span<const store::StoredObject> objects);
+    void applyConfiguration(std::span<const store::StoredObject> objects);
     bool readConfiguration(const store::StoredObject &object);
     void changeServers(std::span<const store::StoredObject> objects);
     void dropUnlistedServers(const std::set<std::string> &listed);
-    void takeServer(const store::StoredObject &object);
-    void takeEntry(const forward::ServerEntry &entry);
+    void applyServer(const store::StoredObject &object);
+    void applyEntry(const forward::ServerEntry &entry);
     void changeDrains(std::span<const store::StoredObject> objects);
     void endUnlistedDrains(const std::set<std::string> &listed);
     void addDrain(const store::StoredObject &object, std::set<std::string> &halls);
     void setDrainedHalls(std::set<std::string> halls);
     void followHallDrains();
-    void missServer(const std::string &id);
+    void markMissing(const std::string &id);
     void dropServer(const std::string &id);
-    bool stoodStill() const;
+    bool stalled() const;
     boost::asio::awaitable<kernel::Duration> sweep();
     void dropMissing();
     void noteFreshness();
@@ -112,18 +113,18 @@
     forward::ColdStarts coldStarts_;
     std::set<std::string> drainedHalls_;
     kernel::Instant started_;
-    KeyTrust trust_ = KeyTrust::Stale; ///< As it was last logged.
-    bool catchingUp_ = false;          ///< After a standstill, while the list may lie unread.
+    KeyTrust trust_ = KeyTrust::Stale; ///< The state that was last logged.
+    bool catchingUp_ = false;          ///< Set after a stall until the list is up to date.
     std::optional<kernel::Instant> caughtUpAt_;
     bool serversKnown_ = false;
-    std::size_t newServers_ = 0;                     ///< In the answer that is taken in.
-    std::map<std::string, kernel::Instant> missing_; ///< Listed no more; dropped when it is time.
+    std::size_t newServers_ = 0; ///< Number of new servers in the answer being processed.
+    std::map<std::string, kernel::Instant> missing_; ///< No longer listed; when to remove them.
     std::vector<std::function<void(const forward::Snapshot &)>> onConfiguration_;
     std::vector<std::function<void(const forward::ListedServer &)>> onServerGone_;
     std::unique_ptr<FeedSources> sources_;
     std::unique_ptr<ObjectFeed> configurationFeed_;
     std::unique_ptr<ObjectFeed> serverFeed_;
-    std::unique_ptr<ObjectFeed> hallDrainFeed_; ///< Nothing where halls aren't drained.
+    std::unique_ptr<ObjectFeed> hallDrainFeed_; ///< nullptr if draining of halls is off.
     std::unique_ptr<services::Repeat> sweep_;
 };
 
--- a/src/gateway/FrontService.cpp
+++ b/src/gateway/FrontService.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr kernel::Duration SweepEvery = 500ms;
+constexpr kernel::Duration SweepInterval = 500ms;
 
 ResultCode codeOf(http::Refused why)
 {
@@ -60,7 +60,7 @@
     sweep_ = std::make_unique<services::Repeat>(context_.io,
                                                 [this]() -> asio::awaitable<kernel::Duration> {
                                                     pool_.sweep();
-                                                    co_return kernel::Duration(SweepEvery);
+                                                    co_return kernel::Duration(SweepInterval);
                                                 });
 }
 
@@ -88,16 +88,17 @@
 http::ServerLimits FrontService::limits() const
 {
     const forward::SnapshotPtr &snapshot = fleetView_.snapshot();
-    const forward::CallerLimits told = snapshot ? snapshot->limits() : forward::CallerLimits();
+    const forward::CallerLimits configured =
+            snapshot ? snapshot->limits() : forward::CallerLimits();
     http::ServerLimits limits;
-    // Two bytes over, so that a head of just the greatest size is not refused with its blank line.
-    limits.headBytes = told.headBytes + 2;
-    limits.bodyBytes = told.bodyBytes;
-    limits.headTimeout = told.headTimeout;
-    limits.idleTimeout = told.idleTimeout;
+    // Two more bytes, so that a head of exactly the maximum size isn't refused for its blank line.
+    limits.headBytes = configured.headBytes + 2;
+    limits.bodyBytes = configured.bodyBytes;
+    limits.headTimeout = configured.headTimeout;
+    limits.idleTimeout = configured.idleTimeout;
     limits.idleNotice = context_.settings.gateway.applyWithin;
     limits.writeTimeout = context_.settings.writeTimeout;
-    // As many again may be needed towards backend servers.
+    // The other half is for connections to backend servers.
     limits.connections = context_.settings.gateway.descriptors / 2;
     return limits;
 }
@@ -106,10 +107,10 @@
 {
     const outcome::ResultInfo &info = outcome::info(codeOf(why));
     context_.counters.add("results", {{"kind", "connection"}, {"code", std::string(info.name)}});
-    const kernel::Duration comeBack = info.httpStatus == 503 ? 250ms : 0ms;
-    const auto told = services::refusalOf(info.code, "the request was not read", comeBack);
-    http::Answer answer(info.httpStatus, fleetView_.adapter().dialect.refusalFields("", comeBack),
-                        services::refusalJson("", told));
+    const kernel::Duration retryAfter = info.httpStatus == 503 ? 250ms : 0ms;
+    const auto refusal = services::refusalOf(info.code, "the request was not read", retryAfter);
+    http::Answer answer(info.httpStatus, fleetView_.adapter().dialect.refusalFields("", retryAfter),
+                        services::refusalJson("", refusal));
     answer.fields.add("Content-Type", "application/json");
     return answer;
 }
--- a/src/gateway/FrontService.h
+++ b/src/gateway/FrontService.h
@@ -1,5 +1,5 @@
 /** \file
- * The side of a gateway towards callers: each request gets a RequestRun.
+ * The caller-facing side of a gateway; a RequestRun serves each request.
  */
 #pragma once
 
@@ -23,13 +23,13 @@
     void start() override;
     void stop() override;
 
-    /** Each answer closes its connection from now on; requests are still served. */
+    /** From now on each answer closes its connection; requests are still served. */
     void beginLeaving();
 
-    /** Takes no more connections and closes the idle ones. */
+    /** Accepts no more connections and closes the idle ones. */
     void drain();
 
-    /** Requests that are being served. */
+    /** Number of requests being served. */
     std::size_t active() const;
 
 private:
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr int CantStart = 3;
+constexpr int StartFailed = 3;
 
 const kernel::Log &log()
 {
@@ -30,7 +30,7 @@
     return Log;
 }
 
-// Only some addresses are told; the ports are the same on all boxes.
+// The settings give only the addresses of seeds; all boxes use the same ports.
 services::Acquaintance acquaintanceOf(const services::Context &context)
 {
     services::Acquaintance acquaintance;
@@ -40,7 +40,7 @@
     return acquaintance;
 }
 
-// Bounds take effect at once; addresses and names are those of the start.
+// Applies the changed bounds at once. Addresses and names stay those from the start.
 void reload(services::Context &context, const std::string &file)
 {
     std::ifstream input(file, std::ios::binary);
@@ -50,7 +50,7 @@
     if (!input || !settings) {
         const std::string why =
                 settings ? "it can't be read" : kernel::text(settings.error().front(), file);
-        log().error("The settings stay as they are: " + why + ".");
+        log().error("The settings are unchanged: " + why + ".");
         return;
     }
     context.settings.gateway = settings->gateway;
@@ -92,21 +92,21 @@
     services::Context context(io, std::move(settings));
     services::identifyProcess(context);
     addGatewayServices(context, std::move(adapter), [&io] { io.stop(); });
-    asio::signal_set ends(io, SIGTERM, SIGINT);
-    ends.async_wait([&context](boost::system::error_code error, int) {
+    asio::signal_set stopSignals(io, SIGTERM, SIGINT);
+    stopSignals.async_wait([&context](boost::system::error_code error, int) {
         if (!error) {
             context.kernel.find<GatewayStop>("stop").begin();
         }
     });
-    asio::signal_set reloads(io, SIGHUP);
-    reloadAtSignal(reloads, context, file);
+    asio::signal_set reloadSignals(io, SIGHUP);
+    reloadAtSignal(reloadSignals, context, file);
     kernel::releaseSignals();
     try {
         context.kernel.start();
     } catch (const boost::system::system_error &error) {
         log().error(std::string("The box can't start: ") + error.what()
                     + ". Are its addresses free?");
-        return CantStart;
+        return StartFailed;
     }
     log().info("Gateway " + context.settings.box.text() + " of hall " + context.settings.hall.text()
                + " has started.");
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -13,11 +13,11 @@
 namespace limereel::gateway {
 
 /** Adds the services of a gateway, in the order in which they start. \param stopped called when a
- * planned stop is done. */
+ * planned stop has finished. */
 void addGatewayServices(services::Context &context, Adapter adapter, std::function<void()> stopped);
 
 /** Runs a gateway until a planned stop.
- * \param file that the settings came from; it is read again at SIGHUP. \return the exit code. */
+ * \param file the settings file; it is read again at SIGHUP. \return the exit code. */
 int runGateway(kernel::BoxSettings settings, const std::string &file, Adapter adapter);
 
 } // namespace limereel::gateway
--- a/src/gateway/GatewayServices.cpp
+++ b/src/gateway/GatewayServices.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr kernel::Duration LookEvery = 20ms;
-// A balancer that asks each second turns away after two answers; it needs this long at most.
+constexpr kernel::Duration PollInterval = 20ms;
+// A balancer that polls every second removes the box after two answers, so within this time.
 constexpr kernel::Duration BalancerLag = 2500ms;
-constexpr kernel::Duration LastMoment = 200ms; ///< Before the platform's own end.
+constexpr kernel::Duration StopMargin = 200ms; ///< Time before the platform kills the process.
 constexpr const char *MetricsPath = "/metrics";
 
 const kernel::Log &log()
@@ -134,14 +134,14 @@
     timer.expires_after(first);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     front.drain();
-    services::StopEnd end({began + first, began + whole - LastMoment, LookEvery, LastMoment});
-    // A turn of the loop first: a connection may be on its way from the listener to its first read.
+    services::StopEnd end({began + first, began + whole - StopMargin, PollInterval, StopMargin});
+    // Waits once first: an accepted connection may not have been read yet.
     do {
-        timer.expires_after(LookEvery);
+        timer.expires_after(PollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     } while (front.active() > 0 && !end.over(context_.now()));
     log().info("The planned stop is done, " + std::to_string(front.active())
-               + " requests are cut.");
+               + " requests are cut off.");
     done_();
 }
 
--- a/src/gateway/GatewayServices.h
+++ b/src/gateway/GatewayServices.h
@@ -1,5 +1,5 @@
 /** \file
- * The small services of a gateway: readiness for the balancer, metrics, and the planned stop.
+ * Small services of a gateway: readiness for the balancer, metrics, and the planned stop.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace limereel::gateway {
 
-/** Tells the balancer whether the box is ready, and serves the metrics and the status. */
+/** Serves the readiness check for the balancer, the metrics and the status. */
 class ReadyService : public kernel::Service
 {
 public:
@@ -24,7 +24,7 @@
     void start() override;
     void stop() override;
 
-    /** The box is not ready from now on. */
+    /** Reports the box as not ready from now on. */
     void beginLeaving() { leaving_ = true; }
 
 private:
@@ -38,7 +38,8 @@
     std::vector<std::unique_ptr<http::Server>> servers_;
 };
 
-/** The planned stop: not ready at once, connections closed between requests, what runs finished. */
+/** The planned stop: reports not ready at once, closes connections between requests, and lets
+ * running requests finish. */
 class GatewayStop : public kernel::Service
 {
 public:
--- a/src/gateway/GatewayStatus.cpp
+++ b/src/gateway/GatewayStatus.cpp
@@ -58,14 +58,14 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Boxes of earlier versions don't tell it.
+// Boxes of earlier versions don't report it.
 std::string restIn(const json &server)
 {
     const auto left = server.value("rests_ms", std::int64_t{0});
     return left > 0 ? ", rests for " + std::to_string(left) + " ms more" : "";
 }
 
-// Requests that don't run freely, as backend servers have ended under them.
+// Requests that are restricted because backend servers crashed while running them.
 json requestsOf(services::Context &context)
 {
     auto &crashes = context.kernel.find<services::CrashService>("crashes");
@@ -129,7 +129,7 @@
              << (server.at("leaving") == true ? ", leaving" : "")
              << (server.at("doubted") == true ? ", doubted" : "") << restIn(server) << '\n';
     }
-    // Boxes of earlier versions don't tell them.
+    // Boxes of earlier versions don't report them.
     const json requests = status.value("requests", json::array());
     text << requests.size() << " requests don't run freely\n";
     for (const json &request : requests) {
--- a/src/gateway/GatewayStatus.h
+++ b/src/gateway/GatewayStatus.h
@@ -1,6 +1,6 @@
 /** \file
- * What a gateway knows at this moment, for people: its configuration and how fresh it is, the other
- * boxes, the backend servers with their loads.
+ * The current state of a gateway for operators: its configuration and how fresh it is, the other
+ * boxes, and the backend servers with their loads.
  */
 #pragma once
 
@@ -10,16 +10,16 @@
 
 namespace limereel::gateway {
 
-/** The path at the control address. */
+/** Path of the status at the control address. */
 inline constexpr const char *StatusPath = "/v1/status";
 
-/** Where an operator lets a stopped request run again: the identity in the query. */
+/** Path at which an operator allows a stopped request to run again; the query has its identity. */
 inline constexpr const char *LiftPath = "/v1/requests/lift";
 
-/** The status of this box; holds no secret. */
+/** The status of this box; contains no secrets. */
 nlohmann::json statusOf(services::Context &context, FleetView &fleetView, bool leaving);
 
-/** The same in a person's words, a line each. */
+/** The status as readable text, one line per item. */
 std::string statusText(const nlohmann::json &status);
 
 } // namespace limereel::gateway
