--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -179,7 +179,8 @@
     co_await giveUp();
 }
 
-// A request during which servers have crashed may have to run alone on its server, or not at all.
+// A request during which servers have crashed may have to run alone, which means one send of it at
+// a time in the whole fleet, or may not run at all.
 asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::acquireSendPermission()
 {
     const services::SendLeave permission = co_await run_.guard.takeLeave(run_.left());
