--- a/src/gateway/FeedRelay.cpp
+++ b/src/gateway/FeedRelay.cpp
@@ -14,21 +14,21 @@
 constexpr int BadAsk = 400;
 constexpr int UnknownPath = 404;
 constexpr int Full = 503;
-// No ask is held longer, whatever it says.
-constexpr kernel::Duration LongestHold = 5s;
+// Upper limit of the hold time that an ask may request.
+constexpr kernel::Duration MaxHold = 5s;
 
-/** Gives room back at the end of an answer, however that comes. */
-class HeldRoom
+/** Releases the bytes reserved for an answer when it ends, also on failure. */
+class ReservedBytes
 {
 public:
-    HeldRoom(std::shared_ptr<store::AnswerBudget> room, std::size_t bytes)
+    ReservedBytes(std::shared_ptr<store::AnswerBudget> room, std::size_t bytes)
         : room_(std::move(room))
         , bytes_(bytes)
     {
     }
-    ~HeldRoom() { room_->giveBack(bytes_); }
-    HeldRoom(const HeldRoom &) = delete;
-    HeldRoom &operator=(const HeldRoom &) = delete;
+    ~ReservedBytes() { room_->giveBack(bytes_); }
+    ReservedBytes(const ReservedBytes &) = delete;
+    ReservedBytes &operator=(const ReservedBytes &) = delete;
 
 private:
     std::shared_ptr<store::AnswerBudget> room_;
@@ -40,7 +40,7 @@
     http::ServerLimits limits;
     limits.headBytes = 4096;
     limits.bodyBytes = 1024;
-    // Two for each box of a hall, which callers' and servers' connections leave room for.
+    // Two for each box of a hall; callers' and servers' connections use the other descriptors.
     limits.connections = settings.descriptors / 8;
     limits.idleTimeout = 30s;
     return limits;
@@ -48,9 +48,9 @@
 
 } // namespace
 
-FeedRelay::FeedRelay(services::Context &context, World &world)
+FeedRelay::FeedRelay(services::Context &context, FleetView &fleetView)
     : context_(context)
-    , world_(world)
+    , fleetView_(fleetView)
     , keys_(peer::peerKeysFrom(context.settings.peerKeys))
     , room_(std::make_shared<store::AnswerBudget>(context.settings.gateway.linkMbps))
 {
@@ -82,7 +82,7 @@
                               kernel::Instant question)
 {
     const peer::EncodedAnswer answer =
-            feed.record().encodedAnswer(ask, question, world_.largestRelayed());
+            feed.record().encodedAnswer(ask, question, fleetView_.largestRelayed());
     const char *result = answer.news ? "news" : "nothing-new";
     context_.counters.add("relay_answers",
                           {{"kind", ask.kind}, {"result", answer.lost ? "lost" : result}});
@@ -93,13 +93,13 @@
 asio::awaitable<void> FeedRelay::waitForNews(ObjectFeed &feed, const peer::FeedAsk &ask)
 {
     const kernel::Duration hold =
-            std::min<kernel::Duration>(std::chrono::milliseconds(ask.holdMs), LongestHold);
+            std::min<kernel::Duration>(std::chrono::milliseconds(ask.holdMs), MaxHold);
     if (hold == 0s || feed.record().answersAtOnce(ask)) {
         co_return;
     }
     asio::steady_timer timer(context_.io);
     timer.expires_after(hold);
-    const ObjectFeed::Waiting waiting(feed, timer);
+    const ObjectFeed::NewsWaiter waiting(feed, timer);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
@@ -112,7 +112,7 @@
         co_return;
     }
     const auto ask = read(request);
-    ObjectFeed *const feed = ask ? world_.feed(ask->kind) : nullptr;
+    ObjectFeed *const feed = ask ? fleetView_.feed(ask->kind) : nullptr;
     if (feed == nullptr) {
         context_.counters.add("relay_refusals");
         http::Answer bad(BadAsk);
@@ -129,7 +129,7 @@
         co_await reply.send(std::move(full));
         co_return;
     }
-    const HeldRoom held(room_, bytes);
+    const ReservedBytes held(room_, bytes);
     co_await reply.send(std::move(answer));
 }
 
--- a/src/gateway/FeedRelay.h
+++ b/src/gateway/FeedRelay.h
@@ -1,11 +1,11 @@
 /** \file
  * Answers other boxes of the hall that ask what the store holds (peer/FeedMessages.h): over HTTP on
- * TCP, at the same port number as the datagrams, in the same authenticated envelope. An answer may
- * be longer than a datagram, and many asks wait at once.
+ * TCP, at the same port number as the peer datagrams, in the same authenticated envelope. TCP is
+ * used because an answer may be longer than a datagram and many asks are held open at once.
  */
 #pragma once
 
-#include "gateway/World.h"
+#include "gateway/FleetView.h"
 #include "http/Server.h"
 #include "peer/Envelope.h"
 #include "store/AnswerBudget.h"
@@ -14,14 +14,14 @@
 
 namespace limereel::gateway {
 
-/** Path of the asks. */
+/** HTTP path for asks. */
 inline constexpr const char *FeedPath = "/feed";
 
-/** The service. */
+/** Serves the feeds of this box to other boxes. */
 class FeedRelay : public kernel::Service
 {
 public:
-    FeedRelay(services::Context &context, World &world);
+    FeedRelay(services::Context &context, FleetView &fleetView);
 
     std::string_view name() const override { return "relay"; }
     void start() override;
@@ -34,9 +34,9 @@
     http::Answer write(const ObjectFeed &feed, const peer::FeedAsk &ask, kernel::Instant question);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     std::vector<peer::PeerKey> keys_;
-    std::shared_ptr<store::AnswerBudget> room_; ///< Also of answers that outlive the service.
+    std::shared_ptr<store::AnswerBudget> room_; ///< Shared with answers that outlive the service.
     std::unique_ptr<http::Server> server_;
 };
 
--- a/src/gateway/FrontService.h
+++ b/src/gateway/FrontService.h
@@ -1,11 +1,11 @@
 /** \file
- * The side of a gateway towards callers: each request gets a RequestRun.
+ * The caller-facing side of a gateway; a RequestRun serves each request.
  */
 #pragma once
 
 #include "gateway/ConnectionPool.h"
+#include "gateway/FleetView.h"
 #include "gateway/PlaceService.h"
-#include "gateway/World.h"
 #include "http/Server.h"
 #include "services/Repeat.h"
 
@@ -17,19 +17,19 @@
 class FrontService : public kernel::Service
 {
 public:
-    FrontService(services::Context &context, World &world, PlaceService &places);
+    FrontService(services::Context &context, FleetView &fleetView, PlaceService &places);
 
     std::string_view name() const override { return "front"; }
     void start() override;
     void stop() override;
 
-    /** Each answer closes its connection from now on; requests are still served. */
+    /** From now on each answer closes its connection; requests are still served. */
     void beginLeaving();
 
-    /** Takes no more connections and closes the idle ones. */
+    /** Accepts no more connections and closes the idle ones. */
     void drain();
 
-    /** Requests that are being served. */
+    /** Number of requests being served. */
     std::size_t active() const;
 
 private:
@@ -38,7 +38,7 @@
     boost::asio::awaitable<void> handle(http::Request request, http::Reply &reply);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     PlaceService &places_;
     ConnectionPool pool_;
     std::unique_ptr<http::Server> server_;
--- a/src/gateway/GatewayServices.h
+++ b/src/gateway/GatewayServices.h
@@ -1,5 +1,5 @@
 /** \file
- * The small services of a gateway: readiness for the balancer, metrics, and the planned stop.
+ * Small services of a gateway: readiness for the balancer, metrics, and the planned stop.
  */
 #pragma once
 
@@ -10,13 +10,13 @@
 
 namespace limereel::gateway {
 
-/** Tells the balancer whether the box is ready, and serves the metrics and the status. */
+/** Serves the readiness check for the balancer, the metrics and the status. */
 class ReadyService : public kernel::Service
 {
 public:
-    ReadyService(services::Context &context, World &world)
+    ReadyService(services::Context &context, FleetView &fleetView)
         : context_(context)
-        , world_(world)
+        , fleetView_(fleetView)
     {
     }
 
@@ -24,7 +24,7 @@
     void start() override;
     void stop() override;
 
-    /** The box is not ready from now on. */
+    /** Reports the box as not ready from now on. */
     void beginLeaving() { leaving_ = true; }
 
 private:
@@ -33,12 +33,13 @@
     http::Answer lift(const http::Request &request);
 
     services::Context &context_;
-    World &world_;
+    FleetView &fleetView_;
     bool leaving_ = false;
     std::vector<std::unique_ptr<http::Server>> servers_;
 };
 
-/** The planned stop: not ready at once, connections closed between requests, what runs finished. */
+/** The planned stop: reports not ready at once, closes connections between requests, and lets
+ * running requests finish. */
 class GatewayStop : public kernel::Service
 {
 public:
@@ -53,7 +54,7 @@
     void stop() override {}
 
     /** Begins the stop; a second call changes nothing. */
-    void leave();
+    void begin();
 
 private:
     boost::asio::awaitable<void> run();
--- a/src/gateway/RunState.cpp
+++ b/src/gateway/RunState.cpp
@@ -4,7 +4,7 @@
 
 void Interrupt::end(Interruption why)
 {
-    // Silence ends only an attempt; what ends the run goes before it.
+    // Silence ends only an attempt, so any reason that ends the run replaces it.
     if (reason == Interruption::None || reason == Interruption::Silent) {
         reason = why;
     }
@@ -20,10 +20,10 @@
     sends += end == AttemptEnd::MayHaveRun ? 1 : 0;
 }
 
-RunState::RunState(services::Context &ofContext, World &ofWorld, http::Request ofCaller,
+RunState::RunState(services::Context &ofContext, FleetView &ofWorld, http::Request ofCaller,
                    http::Reply &toCaller)
     : context(ofContext)
-    , world(ofWorld)
+    , fleetView(ofWorld)
     , request(std::move(ofCaller))
     , reply(toCaller)
     , began(ofContext.now())
