--- a/src/gateway/CrashStore.cpp
+++ b/src/gateway/CrashStore.cpp
@@ -69,7 +69,7 @@
         noteChange(before, record);
     });
     crashes_.setLookUp([this](RequestIdentity request) { return lookUp(request); });
-    loop_ = std::make_unique<services::Repeat>(context_.io, [this] { return round(); });
+    loop_ = std::make_unique<services::PeriodicTask>(context_.io, [this] { return round(); });
 }
 
 void CrashStore::stop()
--- a/src/gateway/CrashStore.h
+++ b/src/gateway/CrashStore.h
@@ -12,7 +12,7 @@
 #include "gateway/Adapter.h"
 #include "gateway/FeedConnection.h"
 #include "services/CrashService.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "store/Backoff.h"
 
 #include <map>
@@ -52,7 +52,7 @@
     std::string after_; ///< The last name that was read.
     std::map<forward::RequestIdentity, forward::CrashRecord> saved_; ///< As the store has them.
     std::set<forward::RequestIdentity> toRemove_;
-    std::unique_ptr<services::Repeat> loop_;
+    std::unique_ptr<services::PeriodicTask> loop_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/FeedSources.cpp
+++ b/src/gateway/FeedSources.cpp
@@ -17,13 +17,13 @@
     , members_(context.kernel.find<services::MembershipService>("membership"))
     , fewest_(fewest)
 {
-    members_.onState([this](membership::BoxState &state) {
+    members_.beforeHeartbeat([this](membership::BoxState &state) {
         state.hall = membership::shortHash(context_.settings.hall.hash());
         state.linkMbps = static_cast<std::uint32_t>(context_.settings.gateway.linkMbps);
     });
-    members_.onBeat([this] { workOut(); });
+    members_.afterHeartbeat([this] { workOut(); });
     // A box that has just started needs to know whom to ask before its first heartbeat is due.
-    members_.onNews([this] {
+    members_.onNewStates([this] {
         if (relays_.empty()) {
             workOut();
         }
--- a/src/gateway/FrontService.cpp
+++ b/src/gateway/FrontService.cpp
@@ -53,15 +53,15 @@
     world_.onServerGone([this](const forward::ListedServer &server) {
         pool_.drop(server.id);
         if (!server.leaving) {
-            context_.kernel.find<services::CrashService>("crashes").serverGone(server.id);
+            context_.kernel.find<services::CrashService>("crashes").onServerDelisted(server.id);
         }
     });
     server_->listen(context_.settings.caller);
-    sweep_ = std::make_unique<services::Repeat>(context_.io,
-                                                [this]() -> asio::awaitable<kernel::Duration> {
-                                                    pool_.sweep();
-                                                    co_return kernel::Duration(SweepEvery);
-                                                });
+    sweep_ = std::make_unique<services::PeriodicTask>(
+            context_.io, [this]() -> asio::awaitable<kernel::Duration> {
+                pool_.sweep();
+                co_return kernel::Duration(SweepEvery);
+            });
 }
 
 void FrontService::stop()
--- a/src/gateway/FrontService.h
+++ b/src/gateway/FrontService.h
@@ -7,7 +7,7 @@
 #include "gateway/PlaceService.h"
 #include "gateway/World.h"
 #include "http/Server.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <memory>
 
@@ -42,7 +42,7 @@
     PlaceService &places_;
     ConnectionPool pool_;
     std::unique_ptr<http::Server> server_;
-    std::unique_ptr<services::Repeat> sweep_;
+    std::unique_ptr<services::PeriodicTask> sweep_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -31,13 +31,13 @@
 }
 
 // Only some addresses are told; the ports are the same on all boxes.
-services::Acquaintance acquaintanceOf(const services::Context &context)
+services::PeerDiscovery peerDiscoveryOf(const services::Context &context)
 {
-    services::Acquaintance acquaintance;
+    services::PeerDiscovery discovery;
     for (const std::string &seed : context.settings.gateway.seeds) {
-        acquaintance.seeds.push_back({seed, context.settings.peer.port});
+        discovery.seeds.push_back({seed, context.settings.peer.port});
     }
-    return acquaintance;
+    return discovery;
 }
 
 // Bounds take effect at once; addresses and names are those of the start.
@@ -75,7 +75,7 @@
     kernel::Kernel &kernel = context.kernel;
     kernel.add(std::make_unique<services::LoopWatch>(context));
     kernel.add(std::make_unique<services::PeerService>(context));
-    kernel.add(std::make_unique<services::MembershipService>(context, acquaintanceOf(context)));
+    kernel.add(std::make_unique<services::MembershipService>(context, peerDiscoveryOf(context)));
     services::CrashService &crashes = kernel.add(std::make_unique<services::CrashService>(context));
     World &world = kernel.add(std::make_unique<World>(context, std::move(adapter)));
     kernel.add(std::make_unique<FeedRelay>(context, world));
--- a/src/gateway/ObjectFeed.cpp
+++ b/src/gateway/ObjectFeed.cpp
@@ -57,7 +57,7 @@
     , storeConnection_(context, "store")
     , relayCaller_(context)
     , began_(context.now())
-    , loop_(std::make_unique<services::Repeat>(context.io, [this] { return round(); }))
+    , loop_(std::make_unique<services::PeriodicTask>(context.io, [this] { return round(); }))
 {
 }
 
--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -18,7 +18,7 @@
 #include "gateway/RelayCaller.h"
 #include "peer/FeedRecord.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "store/FeedPace.h"
 #include "store/SourceBook.h"
 
@@ -187,7 +187,7 @@
     bool taking_ = false;        ///< An answer is whole and isn't taken in yet.
     kernel::Duration latency_{}; ///< Of the store's last answer, waits taken off.
     bool failing_ = false;
-    std::unique_ptr<services::Repeat> loop_;
+    std::unique_ptr<services::PeriodicTask> loop_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/PlaceService.cpp
+++ b/src/gateway/PlaceService.cpp
@@ -79,7 +79,7 @@
             [this](const peer::Message &message, const kernel::Endpoint &from) {
                 receive(message, from);
             });
-    sweep_ = std::make_unique<services::Repeat>(
+    sweep_ = std::make_unique<services::PeriodicTask>(
             context_.io, [this]() -> asio::awaitable<kernel::Duration> {
                 ledger_.expire(context_.now());
                 holders_.expire(context_.now());
--- a/src/gateway/PlaceService.h
+++ b/src/gateway/PlaceService.h
@@ -124,7 +124,7 @@
     forward::FleetMemory startFleet_;                           ///< Divides the leave to start.
     std::deque<std::vector<std::uint64_t>> ownersBefore_;       ///< A view a second, newest last.
     std::map<std::uint64_t, int> silences_;                     ///< In a row, by owner.
-    std::unique_ptr<services::Repeat> sweep_;
+    std::unique_ptr<services::PeriodicTask> sweep_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -136,7 +136,7 @@
 asio::awaitable<void> RequestRun::runAttempts()
 {
     while (!run_.stopped()) {
-        if (auto refusal = co_await takeLeave()) {
+        if (auto refusal = co_await acquireSendPermission()) {
             run_.lastMessage = refusal->message;
             if (run_.counts.sends > 0) {
                 break;
@@ -176,25 +176,26 @@
 }
 
 // A request under which servers have ended may have to run alone, or not at all.
-asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::takeLeave()
+asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::acquireSendPermission()
 {
-    const services::SendLeave leave = co_await run_.guard.takeLeave(run_.left());
+    const services::SendPermission leave = co_await run_.guard.acquireSendPermission(run_.left());
     if (leave.granted()) {
         co_return std::nullopt;
     }
     logNoLeave(run_, leave);
-    co_return Refusal{services::codeOf(leave), services::whyNoLeave(leave), true, leave.comeBack};
+    co_return Refusal{services::codeOf(leave), services::denialMessage(leave), true,
+                      leave.notBefore};
 }
 
 asio::awaitable<void> RequestRun::noteEnd(AttemptEnd end)
 {
-    using services::AttemptSight;
-    AttemptSight sight = AttemptSight::Nothing;
+    using services::AttemptOutcome;
+    AttemptOutcome sight = AttemptOutcome::Nothing;
     if (run_.answeredWhole) {
-        sight = AttemptSight::Whole;
+        sight = AttemptOutcome::Whole;
     } else if (end == AttemptEnd::MayHaveRun) {
         const bool lost = run_.failure == forward::Failure::Lost && !run_.stopped();
-        sight = lost ? AttemptSight::Lost : AttemptSight::Interrupted;
+        sight = lost ? AttemptOutcome::Lost : AttemptOutcome::Interrupted;
     }
     const forward::ListedServer &server = run_.choice.server;
     services::AttemptServer tried{server.id, server.hash(), server.address};
--- a/src/gateway/RequestRun.h
+++ b/src/gateway/RequestRun.h
@@ -45,7 +45,7 @@
     void armTimers();
 
     boost::asio::awaitable<void> runAttempts();
-    boost::asio::awaitable<std::optional<Refusal>> takeLeave();
+    boost::asio::awaitable<std::optional<Refusal>> acquireSendPermission();
     boost::asio::awaitable<void> noteEnd(AttemptEnd end);
     boost::asio::awaitable<std::optional<forward::Choice>> chooseServer();
     boost::asio::awaitable<bool> takePlace(forward::Wish &wish, forward::Choice &choice);
--- a/src/gateway/RunLog.cpp
+++ b/src/gateway/RunLog.cpp
@@ -104,14 +104,14 @@
                 "A backend server asks for rest in a way that can't be read.");
 }
 
-void logNoLeave(RunState &run, const services::SendLeave &leave)
+void logNoLeave(RunState &run, const services::SendPermission &leave)
 {
     log().event("no-leave",
                 {{"request", run.call.id},
                  {"identity", forward::text(run.guard.identity())},
                  {"organisation", run.organisation},
                  {"standing", text(leave.standing)},
-                 {"come_back_ms", leave.comeBack / 1ms},
+                 {"come_back_ms", leave.notBefore / 1ms},
                  {"sends", run.counts.sends}},
                 "The request isn't sent, as backend servers have ended under it.");
 }
--- a/src/gateway/RunLog.h
+++ b/src/gateway/RunLog.h
@@ -28,7 +28,7 @@
 void logRestUnreadable(const RunState &run);
 
 /** The request isn't sent, as backend servers have ended under it. */
-void logNoLeave(RunState &run, const services::SendLeave &leave);
+void logNoLeave(RunState &run, const services::SendPermission &leave);
 
 /** The request is over. */
 void logEnd(const RunState &run, std::string_view result, const std::string &why = {});
--- a/src/gateway/World.cpp
+++ b/src/gateway/World.cpp
@@ -123,7 +123,7 @@
     servers_.setHallRegions(settings.hallRegions);
     started_ = context_.now();
     followHallDrains();
-    sweep_ = std::make_unique<services::Repeat>(context_.io, [this] { return sweep(); });
+    sweep_ = std::make_unique<services::PeriodicTask>(context_.io, [this] { return sweep(); });
 }
 
 void World::followHallDrains()
--- a/src/gateway/World.h
+++ b/src/gateway/World.h
@@ -124,7 +124,7 @@
     std::unique_ptr<ObjectFeed> configurationFeed_;
     std::unique_ptr<ObjectFeed> serverFeed_;
     std::unique_ptr<ObjectFeed> hallDrainFeed_; ///< Nothing where halls aren't drained.
-    std::unique_ptr<services::Repeat> sweep_;
+    std::unique_ptr<services::PeriodicTask> sweep_;
 };
 
 } // namespace limereel::gateway
--- a/src/services/RestService.cpp
+++ b/src/services/BackoffService.cpp
@@ -1,4 +1,4 @@
-#include "services/RestService.h"
+#include "services/BackoffService.h"
 
 #include "kernel/Log.h"
 
@@ -20,27 +20,28 @@
 
 } // namespace
 
-RestService::RestService(Context &context)
+BackoffService::BackoffService(Context &context)
     : context_(context)
     , book_(context.settings.gateway.longestRest)
 {
 }
 
-void RestService::start()
+void BackoffService::start()
 {
     const auto sweep = [this]() -> boost::asio::awaitable<kernel::Duration> {
         book_.expire(context_.now());
         co_return SweepEvery;
     };
-    sweep_ = std::make_unique<Repeat>(context_.io, sweep);
+    sweep_ = std::make_unique<PeriodicTask>(context_.io, sweep);
 }
 
-void RestService::stop()
+void BackoffService::stop()
 {
     sweep_.reset();
 }
 
-void RestService::note(std::uint64_t life, const std::string &server, const http::RetryAfter &word)
+void BackoffService::note(std::uint64_t incarnationKey, const std::string &server,
+                          const http::RetryAfter &word)
 {
     if (word.unreadable) {
         context_.counters.add("rests_unreadable");
@@ -49,21 +50,21 @@
     }
     if (word.wait && *word.wait > kernel::Duration(0)) {
         context_.counters.add("rests_asked");
-        book_.note(life, *word.wait, context_.now());
+        book_.note(incarnationKey, *word.wait, context_.now());
         log().event("server-rests",
                     {{"server", server},
                      {"asked_ms", *word.wait / 1ms},
-                     {"rest_left_ms", left(life) / 1ms}},
+                     {"rest_left_ms", remaining(incarnationKey) / 1ms}},
                     "A backend server asks this box for rest.");
     }
 }
 
-kernel::Duration RestService::left(std::uint64_t life) const
+kernel::Duration BackoffService::remaining(std::uint64_t incarnationKey) const
 {
-    return std::max(kernel::Duration(0), book_.until(life) - context_.now());
+    return std::max(kernel::Duration(0), book_.until(incarnationKey) - context_.now());
 }
 
-http::RetryAfter restAsked(int status, const http::Fields &fields)
+http::RetryAfter requestedBackoff(int status, const http::Fields &fields)
 {
     return status == Unavailable ? http::retryAfter(fields, std::chrono::system_clock::now())
                                  : http::RetryAfter{};
--- a/src/services/RestService.h
+++ b/src/services/BackoffService.h
@@ -7,7 +7,7 @@
 #include "forward/RestBook.h"
 #include "http/RetryAfter.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <memory>
 #include <string>
@@ -15,10 +15,10 @@
 namespace limereel::services {
 
 /** The rests of one box. */
-class RestService : public kernel::Service
+class BackoffService : public kernel::Service
 {
 public:
-    explicit RestService(Context &context);
+    explicit BackoffService(Context &context);
 
     std::string_view name() const override { return "rests"; }
     void start() override;
@@ -26,19 +26,23 @@
 
     /** A backend server has turned a request away. \param word what it says of when to come back.
      */
-    void note(std::uint64_t life, const std::string &server, const http::RetryAfter &word);
+    void note(std::uint64_t incarnationKey, const std::string &server,
+              const http::RetryAfter &word);
 
     /** For how long \a life still wants nothing from this box; zero: it doesn't rest. */
-    kernel::Duration left(std::uint64_t life) const;
-    bool rests(std::uint64_t life) const { return left(life) > kernel::Duration(0); }
+    kernel::Duration remaining(std::uint64_t incarnationKey) const;
+    bool inBackoff(std::uint64_t incarnationKey) const
+    {
+        return remaining(incarnationKey) > kernel::Duration(0);
+    }
 
 private:
     Context &context_;
     forward::RestBook book_;
-    std::unique_ptr<Repeat> sweep_;
+    std::unique_ptr<PeriodicTask> sweep_;
 };
 
 /** What an answer with \a status says of rest; only one that turns a request away does. */
-http::RetryAfter restAsked(int status, const http::Fields &fields);
+http::RetryAfter requestedBackoff(int status, const http::Fields &fields);
 
 } // namespace limereel::services
--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -4,12 +4,12 @@
 #include "outcome/Story.h"
 #include "routing/ChatToken.h"
 #include "services/Answers.h"
+#include "services/BackoffService.h"
 #include "services/ChatRequest.h"
 #include "services/ChatRun.h"
 #include "services/ConfigService.h"
 #include "services/CrashGuard.h"
 #include "services/PermitService.h"
-#include "services/RestService.h"
 #include "services/SpillService.h"
 
 #include <ctime>
@@ -127,9 +127,10 @@
     {
         auto &permits = context_.kernel.find<PermitService>("permits");
         for (int number = 1;; ++number) {
-            const SendLeave leave = co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
+            const SendPermission leave =
+                    co_await guard_.acquireSendPermission(context_.settings.firstTokenTimeout);
             if (!leave.granted()) {
-                co_await giveUp(refusalOf(codeOf(leave), whyNoLeave(leave), leave.comeBack));
+                co_await giveUp(refusalOf(codeOf(leave), denialMessage(leave), leave.notBefore));
                 co_return;
             }
             auto permit = co_await permits.acquireEngine(need_);
@@ -150,7 +151,7 @@
             }
             permit_ = *permit;
             // Another hall's boxes don't know who has asked this one for rest.
-            if (context_.kernel.find<RestService>("rests").rests(permit_.life())) {
+            if (context_.kernel.find<BackoffService>("rests").inBackoff(permit_.incarnationKey())) {
                 permits.giveBack(permit_, peer::Observed::Unused);
                 co_await giveUp(refusalOf(ResultCode::ServersRest, AllRest, ComeBackAfterFailure));
                 co_return;
@@ -201,23 +202,23 @@
             observed = Observed::RefusedLeaving;
         }
         context_.kernel.find<PermitService>("permits").giveBack(permit_, observed);
-        context_.kernel.find<RestService>("rests").note(
-                permit_.life(), permit_.backend.backend.text(), outcome.rest);
+        context_.kernel.find<BackoffService>("rests").note(
+                permit_.incarnationKey(), permit_.backend.backend.text(), outcome.rest);
         co_await noteEnd(outcome);
         co_return outcome;
     }
 
     asio::awaitable<void> noteEnd(const ChatOutcome &outcome)
     {
-        AttemptSight sight = AttemptSight::Whole;
+        AttemptOutcome sight = AttemptOutcome::Whole;
         if (outcome.callerLeft) {
-            sight = AttemptSight::Interrupted;
+            sight = AttemptOutcome::Interrupted;
         } else if (outcome.failure) {
-            sight = sightOf(*outcome.failure);
+            sight = attemptOutcomeOf(*outcome.failure);
         }
         AttemptServer server;
         server.id = permit_.backend.backend.text();
-        server.life = permit_.life();
+        server.incarnationKey = permit_.incarnationKey();
         if (const auto address = kernel::endpointFrom(permit_.backend.address)) {
             server.address = *address;
         }
@@ -357,7 +358,7 @@
     CrashGuard guard_;
     kernel::Instant looked_; ///< When the caller's connection was last looked at.
     ChatRequest chat_;
-    Need need_;
+    EngineRequirements need_;
     bool spill_ = false;
     Permit permit_;
     outcome::Story story_;
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -2,7 +2,7 @@
 
 #include "answer/EventSplitter.h"
 #include "http/Client.h"
-#include "services/RestService.h"
+#include "services/BackoffService.h"
 
 #include <boost/asio.hpp>
 #include <nlohmann/json.hpp>
@@ -181,7 +181,7 @@
     {
         const std::string why = stream.field("X-Not-Started");
         outcome_.leaving = why == "leaving";
-        outcome_.rest = restAsked(stream.status(), stream.fields());
+        outcome_.rest = requestedBackoff(stream.status(), stream.fields());
         const Point point = why.empty() ? Point::AnsweredFailure : Point::RefusedUnstarted;
         fail(point, "the engine answered " + std::to_string(stream.status())
                             + (why.empty() ? "" : ", not started: " + why));
--- a/src/services/ConfigService.cpp
+++ b/src/services/ConfigService.cpp
@@ -85,11 +85,11 @@
     exchange_ = std::make_unique<SettingsExchange>(
             context_, [this](const std::string &request) { return answer(request); });
     auto &membership = context_.kernel.find<MembershipService>("membership");
-    membership.onState(
+    membership.beforeHeartbeat(
             [this](membership::BoxState &state) { state.configRevision = installed_.revision(); });
-    membership.onBeat([this] { fetchLoop_->hurry(); });
-    watchLoop_ = std::make_unique<Repeat>(context_.io, [this] { return watchRound(); });
-    fetchLoop_ = std::make_unique<Repeat>(context_.io, [this] { return fetchRound(); });
+    membership.afterHeartbeat([this] { fetchLoop_->hurry(); });
+    watchLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return watchRound(); });
+    fetchLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return fetchRound(); });
 }
 
 void ConfigService::stop()
--- a/src/services/ConfigService.h
+++ b/src/services/ConfigService.h
@@ -14,7 +14,7 @@
 #include "config/Merge.h"
 #include "config/Validate.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "services/SettingsExchange.h"
 #include "store/Backoff.h"
 
@@ -86,8 +86,8 @@
     std::map<std::string, std::uint64_t> statusWritten_;
     store::Backoff backoff_;
     std::unique_ptr<SettingsExchange> exchange_;
-    std::unique_ptr<Repeat> watchLoop_;
-    std::unique_ptr<Repeat> fetchLoop_;
+    std::unique_ptr<PeriodicTask> watchLoop_;
+    std::unique_ptr<PeriodicTask> fetchLoop_;
 };
 
 } // namespace limereel::services
--- a/src/services/CrashGuard.cpp
+++ b/src/services/CrashGuard.cpp
@@ -13,18 +13,18 @@
 
 } // namespace
 
-AttemptSight sightOf(outcome::Point point)
+AttemptOutcome attemptOutcomeOf(outcome::Point point)
 {
     using outcome::Point;
     switch (point) {
     case Point::PartSent:
     case Point::AllSent:
     case Point::AnswerBegun:
-        return AttemptSight::Lost;
+        return AttemptOutcome::Lost;
     case Point::AnsweredFailure:
-        return AttemptSight::Whole;
+        return AttemptOutcome::Whole;
     default:
-        return AttemptSight::Nothing;
+        return AttemptOutcome::Nothing;
     }
 }
 
@@ -67,30 +67,30 @@
 
 void CrashGuard::handBack()
 {
-    if (alone_ != 0) {
-        crashes_.handBack(identity(), std::exchange(alone_, 0));
+    if (aloneGrant_ != 0) {
+        crashes_.handBack(identity(), std::exchange(aloneGrant_, 0));
     }
 }
 
-asio::awaitable<SendLeave> CrashGuard::takeLeave(kernel::Duration longest)
+asio::awaitable<SendPermission> CrashGuard::acquireSendPermission(kernel::Duration longest)
 {
     // The attempt before didn't use it.
     handBack();
     firstPiece_.reset();
     sound_ = false;
-    SendLeave leave;
+    SendPermission leave;
     if (needsLeave()) {
         forward::RequestIdentity request = identity();
-        leave = co_await crashes_.askLeave(request, longest);
-        alone_ = leave.alone;
+        leave = co_await crashes_.requestSendPermission(request, longest);
+        aloneGrant_ = leave.aloneGrant;
     }
     co_return leave;
 }
 
 void CrashGuard::noteSound()
 {
-    if (alone_ != 0 || isKnown()) {
-        crashes_.noteAnswered(identity(), std::exchange(alone_, 0));
+    if (aloneGrant_ != 0 || isKnown()) {
+        crashes_.noteAnswered(identity(), std::exchange(aloneGrant_, 0));
     }
 }
 
@@ -106,23 +106,23 @@
     }
 }
 
-asio::awaitable<void> CrashGuard::noteEnd(AttemptSight sight, AttemptServer server)
+asio::awaitable<void> CrashGuard::noteEnd(AttemptOutcome sight, AttemptServer server)
 {
-    const bool ended = sight == AttemptSight::Lost || sight == AttemptSight::Interrupted;
+    const bool ended = sight == AttemptOutcome::Lost || sight == AttemptOutcome::Interrupted;
     const bool beginning = !firstPiece_ || context_.now() - *firstPiece_ < BeginsWithin;
-    if (sight == AttemptSight::Whole) {
+    if (sight == AttemptOutcome::Whole) {
         noteSound();
     }
     if (!ended || !beginning) {
         co_return;
     }
-    const bool wasAlone = alone_ != 0;
-    LostAttempt lost{identity(),     std::move(server.id),     server.life,
-                     server.address, std::exchange(alone_, 0), wasAlone};
-    if (sight == AttemptSight::Lost) {
+    const bool wasAlone = aloneGrant_ != 0;
+    LostAttempt lost{identity(),     std::move(server.id),          server.incarnationKey,
+                     server.address, std::exchange(aloneGrant_, 0), wasAlone};
+    if (sight == AttemptOutcome::Lost) {
         co_await crashes_.noteLost(std::move(lost));
     } else if (wasAlone) {
-        crashes_.noteUnsettled(std::move(lost));
+        crashes_.noteInterrupted(std::move(lost));
     }
 }
 
--- a/src/services/CrashGuard.h
+++ b/src/services/CrashGuard.h
@@ -13,7 +13,7 @@
 namespace limereel::services {
 
 /** How an attempt ended, as far as it says something of its server. */
-enum class AttemptSight : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
     Nothing,    ///< Nothing was sent, or the server rejected it.
     Whole,      ///< A whole answer came, a failure of the server's own included.
     Lost,       ///< The connection ended before the answer did.
@@ -24,12 +24,12 @@
 struct AttemptServer
 {
     std::string id;
-    std::uint64_t life = 0; ///< Hash of this life of the server.
+    std::uint64_t incarnationKey = 0; ///< Hash of this life of the server.
     kernel::Endpoint address;
 };
 
 /** What an attempt that failed at \a point says. */
-AttemptSight sightOf(outcome::Point point);
+AttemptOutcome attemptOutcomeOf(outcome::Point point);
 
 /** The guard of one request. Hands back on its end what it still holds. */
 class CrashGuard
@@ -46,19 +46,19 @@
     const forward::RequestIdentity &identity();
 
     /** Asks for leave before an attempt. A send alone takes \a longest at most. */
-    boost::asio::awaitable<SendLeave> takeLeave(kernel::Duration longest);
+    boost::asio::awaitable<SendPermission> acquireSendPermission(kernel::Duration longest);
 
     /** Whether the attempt goes by leave to run alone. */
-    bool isAlone() const { return alone_ != 0; }
+    bool isAlone() const { return aloneGrant_ != 0; }
 
     /** Whether the leave that was given still holds: others may have learnt more meanwhile. */
-    bool mayBeSent() { return alone_ != 0 || !needsLeave(); }
+    bool mayBeSent() { return aloneGrant_ != 0 || !needsLeave(); }
 
     /** A piece of the attempt's answer has come. */
     void notePiece();
 
     /** The attempt is over. */
-    boost::asio::awaitable<void> noteEnd(AttemptSight sight, AttemptServer server);
+    boost::asio::awaitable<void> noteEnd(AttemptOutcome sight, AttemptServer server);
 
 private:
     bool isKnown() const;
@@ -72,7 +72,7 @@
     forward::IdentityParts parts_;
     std::uint64_t shape_ = 0;
     std::optional<forward::RequestIdentity> identity_; ///< Once it was asked for.
-    std::uint64_t alone_ = 0;                          ///< The leave to send it alone; 0: none.
+    std::uint64_t aloneGrant_ = 0;                     ///< The leave to send it alone; 0: none.
     std::optional<kernel::Instant> firstPiece_;        ///< Of this attempt's answer.
     bool sound_ = false; ///< The attempt has gone on past its beginning.
 };
--- a/src/services/CrashService.cpp
+++ b/src/services/CrashService.cpp
@@ -51,13 +51,13 @@
 
 } // namespace
 
-outcome::ResultCode codeOf(const SendLeave &leave)
+outcome::ResultCode codeOf(const SendPermission &leave)
 {
     return leave.standing == Standing::Stopped ? outcome::ResultCode::EndsServers
                                                : outcome::ResultCode::RunsAlone;
 }
 
-std::string whyNoLeave(const SendLeave &leave)
+std::string denialMessage(const SendPermission &leave)
 {
     return leave.standing == Standing::Stopped
                    ? "each backend server that began to run this request has ended"
@@ -75,20 +75,22 @@
             [this](const peer::Message &message, const kernel::Endpoint &from) {
                 receive(message, from);
             });
-    sweep_ = std::make_unique<Repeat>(context_.io, [this]() -> asio::awaitable<kernel::Duration> {
-        const kernel::Instant now = context_.now();
-        book_.expire(now);
-        alone_.expire(now);
-        std::erase_if(unsettled_, [now](const Unsettled &unsettled) {
-            return now - unsettled.since > UnsettledFor;
-        });
-        std::erase_if(endedLives_,
-                      [now](const auto &life) { return now - life.second > UnsettledFor; });
-        retell();
-        greetNewcomers();
-        tellOne();
-        co_return kernel::Duration(SweepEvery);
-    });
+    sweep_ = std::make_unique<PeriodicTask>(
+            context_.io, [this]() -> asio::awaitable<kernel::Duration> {
+                const kernel::Instant now = context_.now();
+                book_.expire(now);
+                aloneGrant_.expire(now);
+                std::erase_if(unsettled_, [now](const Unsettled &unsettled) {
+                    return now - unsettled.since > UnsettledFor;
+                });
+                std::erase_if(endedLives_, [now](const auto &incarnationKey) {
+                    return now - incarnationKey.second > UnsettledFor;
+                });
+                retell();
+                greetNewcomers();
+                tellOne();
+                co_return kernel::Duration(SweepEvery);
+            });
 }
 
 void CrashService::stop()
@@ -96,15 +98,16 @@
     sweep_.reset();
 }
 
-asio::awaitable<SendLeave> CrashService::askLeave(RequestIdentity request, kernel::Duration longest)
+asio::awaitable<SendPermission> CrashService::requestSendPermission(RequestIdentity request,
+                                                                    kernel::Duration longest)
 {
-    SendLeave leave;
+    SendPermission leave;
     leave.standing = standing(request);
     if (leave.standing == Standing::Alone) {
         leave = co_await askAlone(request, longest);
     }
     if (leave.standing == Standing::Stopped) {
-        leave.comeBack = book_.heldFor(request, context_.now());
+        leave.notBefore = book_.heldFor(request, context_.now());
     }
     if (leave.standing != Standing::Free) {
         context_.counters.add("crash_leaves", {{"standing", text(leave.standing)},
@@ -113,7 +116,8 @@
     co_return leave;
 }
 
-asio::awaitable<SendLeave> CrashService::askAlone(RequestIdentity request, kernel::Duration longest)
+asio::awaitable<SendPermission> CrashService::askAlone(RequestIdentity request,
+                                                       kernel::Duration longest)
 {
     peer::CrashReport report = reportOf(request, peer::CrashMatter::AskAlone);
     report.forMs = static_cast<std::uint32_t>(
@@ -129,21 +133,21 @@
         // Another part of the fleet, that this one can't hear, may have stopped it.
         co_await lookUp_(request);
     }
-    SendLeave leave;
+    SendPermission leave;
     leave.standing = standing(request);
     if (leave.standing == Standing::Alone) {
-        leave.alone = granted ? ask : 0;
-        leave.comeBack = word ? 1ms * word->comeBackMs : LongestComeBack;
+        leave.aloneGrant = granted ? ask : 0;
+        leave.notBefore = word ? 1ms * word->comeBackMs : LongestComeBack;
     } else if (granted) {
         handBack(request, ask);
     }
     co_return leave;
 }
 
-void CrashService::handBack(const RequestIdentity &request, std::uint64_t alone)
+void CrashService::handBack(const RequestIdentity &request, std::uint64_t aloneGrant)
 {
-    if (alone != 0) {
-        tellOwner(request, peer::CrashMatter::AloneOver, alone);
+    if (aloneGrant != 0) {
+        tellOwner(request, peer::CrashMatter::AloneOver, aloneGrant);
     }
 }
 
@@ -196,7 +200,7 @@
     lookedAt_.erase(server);
     for (Unsettled &unsettled : unsettled_) {
         if (unsettled.lost.server == server) {
-            handBack(unsettled.lost.request, std::exchange(unsettled.lost.alone, 0));
+            handBack(unsettled.lost.request, std::exchange(unsettled.lost.aloneGrant, 0));
         }
     }
 }
@@ -213,15 +217,15 @@
     if (unsettled_.size() < MostUnsettled) {
         unsettled_.push_back({std::move(lost), context_.now()});
     } else {
-        handBack(lost.request, lost.alone);
+        handBack(lost.request, lost.aloneGrant);
     }
 }
 
 // Ended by this box: if this life of the server ends soon after, that isn't taken for the doing of
 // a send that ran alone.
-void CrashService::noteUnsettled(LostAttempt lost)
+void CrashService::noteInterrupted(LostAttempt lost)
 {
-    handBack(lost.request, std::exchange(lost.alone, 0));
+    handBack(lost.request, std::exchange(lost.aloneGrant, 0));
     lost.ranAlone = false;
     keepUnsettled(std::move(lost));
 }
@@ -231,25 +235,25 @@
     const CrashRecord before = book_.record(lost.request);
     if (!book_.noteEnd(lost.request, lost.server, lost.ranAlone, context_.now())) {
         // The same request ran there twice: the end was counted already.
-        handBack(lost.request, lost.alone);
+        handBack(lost.request, lost.aloneGrant);
         co_return;
     }
     context_.counters.add("crash_ends", {{"alone", lost.ranAlone ? "yes" : "no"}});
     noteChange(before);
     peer::CrashReport report = reportOf(lost.request, peer::CrashMatter::Ended);
-    report.ask = lost.alone != 0 ? lost.alone : report.ask;
+    report.ask = lost.aloneGrant != 0 ? lost.aloneGrant : report.ask;
     const auto word = co_await askOwner(std::move(report));
     if (!word && standing(lost.request) != Standing::Free) {
         tellAll(lost.request);
     }
 }
 
-void CrashService::noteAnswered(const RequestIdentity &request, std::uint64_t alone)
+void CrashService::noteAnswered(const RequestIdentity &request, std::uint64_t aloneGrant)
 {
     const CrashRecord before = book_.record(request);
     if (book_.forget(request, context_.now())) {
         noteChange(before);
-        tellOwner(request, peer::CrashMatter::Answered, alone);
+        tellOwner(request, peer::CrashMatter::Answered, aloneGrant);
     }
 }
 
@@ -267,7 +271,7 @@
     return true;
 }
 
-void CrashService::serverGone(const std::string &id)
+void CrashService::onServerDelisted(const std::string &id)
 {
     settle([&id](const LostAttempt &lost) { return lost.serverId == id; });
 }
@@ -350,12 +354,12 @@
     const kernel::Instant now = context_.now();
     take(report.record);
     if (report.matter != peer::CrashMatter::AskAlone) {
-        alone_.over(request, report.ask);
+        aloneGrant_.over(request, report.ask);
     }
     peer::CrashWord word;
     word.ask = report.ask;
     if (report.matter == peer::CrashMatter::AskAlone && standing(request) == Standing::Alone) {
-        const auto wait = alone_.take(request, report.ask, now + 1ms * report.forMs, now);
+        const auto wait = aloneGrant_.take(request, report.ask, now + 1ms * report.forMs, now);
         word.granted = wait == kernel::Duration::zero();
         word.comeBackMs = static_cast<std::uint32_t>(
                 std::clamp<kernel::Duration>(wait, ShortestComeBack, LongestComeBack) / 1ms);
--- a/src/services/CrashService.h
+++ b/src/services/CrashService.h
@@ -13,7 +13,7 @@
 #include "outcome/ResultCode.h"
 #include "peer/Messages.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <boost/asio/steady_timer.hpp>
 #include <deque>
@@ -28,20 +28,20 @@
 namespace limereel::services {
 
 /** Whether a request may be sent now. */
-struct SendLeave
+struct SendPermission
 {
     forward::Standing standing = forward::Standing::Free;
-    std::uint64_t alone = 0;     ///< The leave to send it alone, to be handed back; 0: none.
-    kernel::Duration comeBack{}; ///< Where it may not be sent: not before this.
+    std::uint64_t aloneGrant = 0; ///< The leave to send it alone, to be handed back; 0: none.
+    kernel::Duration notBefore{}; ///< Where it may not be sent: not before this.
 
-    bool granted() const { return standing == forward::Standing::Free || alone != 0; }
+    bool granted() const { return standing == forward::Standing::Free || aloneGrant != 0; }
 };
 
 /** The result of a request that got no \a leave. */
-outcome::ResultCode codeOf(const SendLeave &leave);
+outcome::ResultCode codeOf(const SendPermission &leave);
 
 /** Why \a leave wasn't given, for the caller. */
-std::string whyNoLeave(const SendLeave &leave);
+std::string denialMessage(const SendPermission &leave);
 
 /** An attempt whose connection ended before its answer did. */
 struct LostAttempt
@@ -50,8 +50,9 @@
     std::string serverId;
     std::uint64_t server = 0; ///< Hash of this life of the server.
     kernel::Endpoint address;
-    std::uint64_t alone = 0; ///< The leave that it was sent with, unless it has been handed back.
-    bool ranAlone = false;   ///< It was sent with one.
+    std::uint64_t aloneGrant =
+            0;             ///< The leave that it was sent with, unless it has been handed back.
+    bool ranAlone = false; ///< It was sent with one.
 };
 
 /** The service. */
@@ -73,11 +74,11 @@
     }
 
     /** Asks whether \a request may be sent. A send alone takes \a longest at most. */
-    boost::asio::awaitable<SendLeave> askLeave(forward::RequestIdentity request,
-                                               kernel::Duration longest);
+    boost::asio::awaitable<SendPermission> requestSendPermission(forward::RequestIdentity request,
+                                                                 kernel::Duration longest);
 
     /** A send alone is over, and its server goes on. */
-    void handBack(const forward::RequestIdentity &request, std::uint64_t alone);
+    void handBack(const forward::RequestIdentity &request, std::uint64_t aloneGrant);
 
     /** An attempt was lost. Looks whether its server has ended; if so, tells the request's owner
      * and waits for its word. If not, the server is looked at some more times, as its port may
@@ -86,17 +87,17 @@
 
     /** An attempt was ended before its answer by this box, for its caller or its deadline: its
      * server may still turn out to have ended. */
-    void noteUnsettled(LostAttempt lost);
+    void noteInterrupted(LostAttempt lost);
 
     /** A request got its whole answer, or runs on past its beginning. \param alone the leave that
      * it was sent with; 0: none. */
-    void noteAnswered(const forward::RequestIdentity &request, std::uint64_t alone);
+    void noteAnswered(const forward::RequestIdentity &request, std::uint64_t aloneGrant);
 
     /** An operator lets the request run again. \return whether anything was known of it. */
     bool lift(const forward::RequestIdentity &request);
 
     /** A backend server is listed no more. */
-    void serverGone(const std::string &id);
+    void onServerDelisted(const std::string &id);
 
     /** Sets what asks elsewhere for a record, before a request is sent alone. */
     using LookUp = std::function<boost::asio::awaitable<void>(forward::RequestIdentity)>;
@@ -139,8 +140,8 @@
     /** What a look at a server shows. */
     enum class Look : std::uint8_t { Ended, Listens, Unclear };
 
-    boost::asio::awaitable<SendLeave> askAlone(forward::RequestIdentity request,
-                                               kernel::Duration longest);
+    boost::asio::awaitable<SendPermission> askAlone(forward::RequestIdentity request,
+                                                    kernel::Duration longest);
     boost::asio::awaitable<Look> look(kernel::Endpoint address);
     boost::asio::awaitable<void> lookAgain(std::uint64_t server, kernel::Endpoint address);
     bool isUnsettled(std::uint64_t server) const;
@@ -162,7 +163,7 @@
 
     Context &context_;
     forward::CrashBook book_;
-    forward::AloneLedger alone_;
+    forward::AloneLedger aloneGrant_;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_; ///< By ask.
     std::vector<Unsettled> unsettled_;
     std::set<std::uint64_t> lookedAt_; ///< Lives of servers that are looked at again.
@@ -172,7 +173,7 @@
     std::size_t turn_ = 0;
     std::vector<Changed> changed_;
     LookUp lookUp_; ///< Nothing: nobody is asked.
-    std::unique_ptr<Repeat> sweep_;
+    std::unique_ptr<PeriodicTask> sweep_;
 };
 
 } // namespace limereel::services
--- a/src/services/DirectoryService.cpp
+++ b/src/services/DirectoryService.cpp
@@ -34,7 +34,7 @@
 
 void DirectoryService::start()
 {
-    loop_ = std::make_unique<Repeat>(context_.io, [this] { return round(); });
+    loop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return round(); });
 }
 
 void DirectoryService::stop()
--- a/src/services/DirectoryService.h
+++ b/src/services/DirectoryService.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "store/Backoff.h"
 #include "store/Directory.h"
 
@@ -62,7 +62,7 @@
     int doubts_ = 0; ///< Reads in a row that gave an implausible list.
     std::optional<kernel::Instant> othersRead_;
     store::Backoff backoff_;
-    std::unique_ptr<Repeat> loop_;
+    std::unique_ptr<PeriodicTask> loop_;
 };
 
 } // namespace limereel::services
--- a/src/services/HallView.cpp
+++ b/src/services/HallView.cpp
@@ -89,7 +89,7 @@
     return engines;
 }
 
-std::vector<routing::Candidate> HallView::enginesEverOf(ShortHash model) const
+std::vector<routing::Candidate> HallView::knownEnginesOf(ShortHash model) const
 {
     std::vector<routing::Candidate> engines;
     for (const BackendView &backend : backends) {
--- a/src/services/HallView.h
+++ b/src/services/HallView.h
@@ -42,7 +42,7 @@
 
     /** All engines that hold \a model or held it when last heard of, those that are down included.
      */
-    std::vector<routing::Candidate> enginesEverOf(membership::ShortHash model) const;
+    std::vector<routing::Candidate> knownEnginesOf(membership::ShortHash model) const;
 
     /** The box whose word counts on the engine with \a hash; 0 if nobody has spoken. */
     std::uint64_t reporterOf(std::uint64_t hash) const;
--- a/src/services/LoopWatch.cpp
+++ b/src/services/LoopWatch.cpp
@@ -24,13 +24,13 @@
 void LoopWatch::start()
 {
     due_ = context_.now();
-    turns_ = std::make_unique<Repeat>(context_.io,
-                                      [this]() -> boost::asio::awaitable<kernel::Duration> {
-                                          const kernel::Instant now = context_.now();
-                                          note(due_, now);
-                                          due_ = now + TurnEvery;
-                                          co_return kernel::Duration(TurnEvery);
-                                      });
+    turns_ = std::make_unique<PeriodicTask>(context_.io,
+                                            [this]() -> boost::asio::awaitable<kernel::Duration> {
+                                                const kernel::Instant now = context_.now();
+                                                note(due_, now);
+                                                due_ = now + TurnEvery;
+                                                co_return kernel::Duration(TurnEvery);
+                                            });
 }
 
 void LoopWatch::stop()
--- a/src/services/LoopWatch.h
+++ b/src/services/LoopWatch.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <memory>
 
@@ -30,7 +30,7 @@
 
     Context &context_;
     kernel::Instant due_;
-    std::unique_ptr<Repeat> turns_;
+    std::unique_ptr<PeriodicTask> turns_;
 };
 
 } // namespace limereel::services
--- a/src/services/MembershipService.cpp
+++ b/src/services/MembershipService.cpp
@@ -33,12 +33,12 @@
     return error ? 0 : address.to_uint();
 }
 
-BoxState firstState(const Context &context, const Acquaintance &acquaintance)
+BoxState firstState(const Context &context, const PeerDiscovery &discovery)
 {
     BoxState state;
     state.box = context.settings.box.hash();
     state.incarnation = context.incarnation;
-    state.address = acquaintance.seeds.empty() ? 0 : ownNumber(context);
+    state.address = discovery.seeds.empty() ? 0 : ownNumber(context);
     return state;
 }
 
@@ -49,10 +49,10 @@
 
 } // namespace
 
-MembershipService::MembershipService(Context &context, Acquaintance acquaintance)
+MembershipService::MembershipService(Context &context, PeerDiscovery discovery)
     : context_(context)
-    , acquaintance_(std::move(acquaintance))
-    , table_(policyOf(context.settings), firstState(context, acquaintance_))
+    , discovery_(std::move(discovery))
+    , table_(policyOf(context.settings), firstState(context, discovery_))
 {
     names_[context.settings.box.hash()] = context.settings.box.text();
 }
@@ -65,7 +65,7 @@
                     receive(*heartbeat, from);
                 }
             });
-    loop_ = std::make_unique<Repeat>(context_.io, [this] { return round(); });
+    loop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return round(); });
 }
 
 void MembershipService::stop()
@@ -123,7 +123,7 @@
 asio::awaitable<kernel::Duration> MembershipService::round()
 {
     takeListed();
-    BoxState state = firstState(context_, acquaintance_);
+    BoxState state = firstState(context_, discovery_);
     state.leaving = leaving_;
     for (const auto &complete : complete_) {
         complete(state);
@@ -155,7 +155,7 @@
     for (const kernel::KnownBox &known : context_.settings.knownBoxes) {
         add(known);
     }
-    for (const kernel::KnownBox &known : acquaintance_.listed()) {
+    for (const kernel::KnownBox &known : discovery_.listed()) {
         add(known);
     }
     table_.setListed(listed, context_.now());
@@ -170,7 +170,7 @@
         return;
     }
     auto &peer = context_.kernel.find<PeerService>("peer");
-    for (const kernel::Endpoint &seed : acquaintance_.seeds) {
+    for (const kernel::Endpoint &seed : discovery_.seeds) {
         if (seed != context_.settings.peer) {
             peer.send(seed, peer::Heartbeat{{table_.self()}, {}});
         }
--- a/src/services/MembershipService.h
+++ b/src/services/MembershipService.h
@@ -6,7 +6,7 @@
 #include "membership/HeartbeatTable.h"
 #include "peer/Messages.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <functional>
 #include <memory>
@@ -17,7 +17,7 @@
 namespace limereel::services {
 
 /** How a box comes to know the others. */
-struct Acquaintance
+struct PeerDiscovery
 {
     /** The boxes that a list names. */
     std::function<std::vector<kernel::KnownBox>()> listed = [] {
@@ -33,23 +33,23 @@
 class MembershipService : public kernel::Service
 {
 public:
-    MembershipService(Context &context, Acquaintance acquaintance);
+    MembershipService(Context &context, PeerDiscovery discovery);
 
     std::string_view name() const override { return "membership"; }
     void start() override;
     void stop() override;
 
     /** Adds something that completes the box's own state before each heartbeat. */
-    void onState(std::function<void(membership::BoxState &)> complete)
+    void beforeHeartbeat(std::function<void(membership::BoxState &)> complete)
     {
         complete_.push_back(std::move(complete));
     }
 
     /** Adds something that runs after each heartbeat. */
-    void onBeat(std::function<void()> beat) { beat_.push_back(std::move(beat)); }
+    void afterHeartbeat(std::function<void()> beat) { beat_.push_back(std::move(beat)); }
 
     /** Adds something that runs when a message brought news of other boxes. */
-    void onNews(std::function<void()> news) { news_.push_back(std::move(news)); }
+    void onNewStates(std::function<void()> news) { news_.push_back(std::move(news)); }
 
     std::uint64_t self() const { return table_.self().box; }
 
@@ -93,7 +93,7 @@
     void forgetOwners() { ownersAt_.reset(); }
 
     Context &context_;
-    Acquaintance acquaintance_;
+    PeerDiscovery discovery_;
     std::uint64_t rounds_ = 0;
     membership::HeartbeatTable table_;
     mutable std::vector<std::uint64_t> owners_;
@@ -104,7 +104,7 @@
     std::vector<std::function<void()>> beat_;
     std::vector<std::function<void()>> news_;
     bool leaving_ = false;
-    std::unique_ptr<Repeat> loop_;
+    std::unique_ptr<PeriodicTask> loop_;
 };
 
 } // namespace limereel::services
--- a/src/services/OwnedBackends.cpp
+++ b/src/services/OwnedBackends.cpp
@@ -53,7 +53,7 @@
 
 void OwnedBackends::start()
 {
-    probeLoop_ = std::make_unique<Repeat>(context_.io, [this] { return probeRound(); });
+    probeLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return probeRound(); });
 }
 
 void OwnedBackends::stop()
@@ -67,7 +67,7 @@
     return place == backends_.end() ? nullptr : &place->second;
 }
 
-void OwnedBackends::review(const HallView &known, kernel::Instant awake)
+void OwnedBackends::reconcile(const HallView &known, kernel::Instant awake)
 {
     const auto &membership = context_.kernel.find<MembershipService>("membership");
     const auto owners = membership.owners();
--- a/src/services/OwnedBackends.h
+++ b/src/services/OwnedBackends.h
@@ -15,7 +15,7 @@
 #include "routing/PermitLedger.h"
 #include "services/Context.h"
 #include "services/HallView.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <functional>
 #include <map>
@@ -52,7 +52,7 @@
     /** Takes over what falls to this box now, and lets go of what no longer does.
      * \param known what was known of the hall until now: the word of the owners before.
      * \param awake by which the leases of permits go. */
-    void review(const HallView &known, kernel::Instant awake);
+    void reconcile(const HallView &known, kernel::Instant awake);
 
     /** Takes over \a listed, which this box doesn't own yet. */
     void adopt(const store::ListedBackend &listed, const HallView &known, kernel::Instant awake);
@@ -93,7 +93,7 @@
     std::function<void()> changed_;
     std::map<std::uint64_t, OwnedBackend> backends_;
     routing::PermitHistory permitsThen_; ///< Explains what an engine reports.
-    std::unique_ptr<Repeat> probeLoop_;
+    std::unique_ptr<PeriodicTask> probeLoop_;
 };
 
 } // namespace limereel::services
--- a/src/services/OwnerService.cpp
+++ b/src/services/OwnerService.cpp
@@ -72,9 +72,9 @@
 void OwnerService::start()
 {
     auto &membership = context_.kernel.find<MembershipService>("membership");
-    membership.onState(
+    membership.beforeHeartbeat(
             [this](membership::BoxState &state) { state.backends = backends_.states(); });
-    membership.onBeat([this] { beat(); });
+    membership.afterHeartbeat([this] { beat(); });
     backends_.start();
 }
 
@@ -162,7 +162,7 @@
         return;
     }
     chats_.put(placed.chat, {backend->listed.backend.hash(), backend->state.incarnation});
-    const auto all = view().enginesEverOf(placed.model);
+    const auto all = view().knownEnginesOf(placed.model);
     if (placed.passedOn || all.empty()) {
         return;
     }
@@ -201,7 +201,7 @@
 void OwnerService::beat()
 {
     viewStale_ = true;
-    backends_.review(view_, awake());
+    backends_.reconcile(view_, awake());
     const std::size_t expired = backends_.expire(awake()) + quotas_.expire(awake());
     if (expired > 0) {
         context_.counters.add("permits_expired", {}, expired);
--- a/src/services/Repeat.cpp
+++ b/src/services/PeriodicTask.cpp
@@ -1,4 +1,4 @@
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include "kernel/Log.h"
 
@@ -8,7 +8,7 @@
 
 namespace asio = boost::asio;
 
-struct Repeat::State
+struct PeriodicTask::State
 {
     State(asio::io_context &context, Round oneRound)
         : io(context)
@@ -50,19 +50,19 @@
 
 } // namespace
 
-Repeat::Repeat(asio::io_context &io, Round round)
+PeriodicTask::PeriodicTask(asio::io_context &io, Round round)
     : state_(std::make_shared<State>(io, std::move(round)))
 {
     asio::co_spawn(io, run(state_), asio::detached);
 }
 
-Repeat::~Repeat()
+PeriodicTask::~PeriodicTask()
 {
     state_->stopped = true;
     state_->timer.cancel();
 }
 
-void Repeat::hurry()
+void PeriodicTask::hurry()
 {
     state_->hurried = true;
     state_->timer.cancel();
--- a/src/services/Repeat.h
+++ b/src/services/PeriodicTask.h
@@ -15,16 +15,16 @@
 
 /** A loop with a pause between two rounds. Stops when destroyed; a round that runs is finished
  * first. */
-class Repeat
+class PeriodicTask
 {
 public:
     using Round = std::function<boost::asio::awaitable<kernel::Duration>()>;
 
     /** \param round one round; it gives the pause before the next one. */
-    Repeat(boost::asio::io_context &io, Round round);
-    ~Repeat();
-    Repeat(const Repeat &) = delete;
-    Repeat &operator=(const Repeat &) = delete;
+    PeriodicTask(boost::asio::io_context &io, Round round);
+    ~PeriodicTask();
+    PeriodicTask(const PeriodicTask &) = delete;
+    PeriodicTask &operator=(const PeriodicTask &) = delete;
 
     /** Cuts the running pause short. */
     void hurry();
--- a/src/services/PermitService.cpp
+++ b/src/services/PermitService.cpp
@@ -1,10 +1,10 @@
 #include "services/PermitService.h"
 
 #include "membership/Ownership.h"
+#include "services/BackoffService.h"
 #include "services/MembershipService.h"
 #include "services/OwnerService.h"
 #include "services/PeerService.h"
-#include "services/RestService.h"
 #include "services/SpillService.h"
 
 #include <algorithm>
@@ -35,7 +35,7 @@
 
 // Only an engine that works can be full. Owners may know before this box that all are down; the
 // caller is told to wait for a place only where there is one to wait for.
-void noteRefusal(const PermitAnswer &answer, NoPermit &refusal)
+void noteRefusal(const PermitAnswer &answer, PermitRefusal &refusal)
 {
     if (answer.result == PermitResult::Full || answer.result == PermitResult::Unfair) {
         refusal.code = ResultCode::EnginesFull;
@@ -69,7 +69,7 @@
             [this](const peer::Message &message, const kernel::Endpoint &from) {
                 receive(message, from);
             });
-    renewLoop_ = std::make_unique<Repeat>(context_.io, [this] { return renewRound(); });
+    renewLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return renewRound(); });
 }
 
 void PermitService::stop()
@@ -107,15 +107,16 @@
 }
 
 // Engines that have asked this box for rest are left out. Gives whether there are some.
-bool PermitService::excludeResting(Need &need, const std::vector<routing::Candidate> &engines) const
+bool PermitService::excludeResting(EngineRequirements &need,
+                                   const std::vector<routing::Candidate> &engines) const
 {
-    const auto &rests = context_.kernel.find<RestService>("rests");
+    const auto &rests = context_.kernel.find<BackoffService>("rests");
     const auto &view = context_.kernel.find<OwnerService>("owner").view();
     bool some = false;
     for (const auto &engine : engines) {
         const BackendView *const backend = view.find(engine.engine);
         if (backend != nullptr
-            && rests.rests(kernel::combine(engine.engine, backend->state.incarnation))) {
+            && rests.inBackoff(kernel::combine(engine.engine, backend->state.incarnation))) {
             need.excluded.insert(engine.engine);
             some = true;
         }
@@ -123,14 +124,15 @@
     return some;
 }
 
-asio::awaitable<tl::expected<Permit, NoPermit>> PermitService::acquireEngine(Need need)
+asio::awaitable<tl::expected<Permit, PermitRefusal>>
+PermitService::acquireEngine(EngineRequirements need)
 {
     auto &owner = context_.kernel.find<OwnerService>("owner");
     auto engines = owner.view().enginesOf(need.model);
     const bool someRest = excludeResting(need, engines);
     std::erase_if(engines,
                   [&](const auto &engine) { return need.excluded.contains(engine.engine); });
-    NoPermit refusal{ResultCode::NoEngine, ComeBackWithoutWord};
+    PermitRefusal refusal{ResultCode::NoEngine, ComeBackWithoutWord};
     if (engines.empty()) {
         if (someRest) {
             refusal.code = ResultCode::ServersRest;
@@ -197,7 +199,7 @@
     co_return tl::unexpected(refusal);
 }
 
-asio::awaitable<tl::expected<Permit, NoPermit>>
+asio::awaitable<tl::expected<Permit, PermitRefusal>>
 PermitService::acquireQuota(std::uint64_t organisation)
 {
     const AskPermit ask{.kind = AskKind::Quota,
@@ -208,8 +210,9 @@
     const auto answered = co_await askOwner(ask);
     const PermitResult result = answered ? answered->answer.result : PermitResult::NotOwner;
     if (result != PermitResult::Granted && result != PermitResult::NotOwner) {
-        co_return tl::unexpected(NoPermit{ResultCode::OrganisationLimit,
-                                          std::chrono::milliseconds(answered->answer.comeBackMs)});
+        co_return tl::unexpected(
+                PermitRefusal{ResultCode::OrganisationLimit,
+                              std::chrono::milliseconds(answered->answer.comeBackMs)});
     }
     if (result == PermitResult::NotOwner) {
         // Nobody keeps the count for the moment. A limit that can't be checked doesn't stop anyone;
@@ -222,8 +225,8 @@
     co_return Permit{.request = ask.request, .resource = organisation};
 }
 
-void PermitService::holdAbroad(const AskPermit &ask, const Permit &permit,
-                               const kernel::Endpoint &delegate)
+void PermitService::holdInOtherHall(const AskPermit &ask, const Permit &permit,
+                                    const kernel::Endpoint &delegate)
 {
     held_[ask.request] = {
             {ask.request, permit.resource, ask.organisation}, {}, delegate, context_.now()};
@@ -307,9 +310,10 @@
     co_return last;
 }
 
-asio::awaitable<std::optional<Permit>> PermitService::tryEngine(const Need &need, AskPermit ask,
+asio::awaitable<std::optional<Permit>> PermitService::tryEngine(const EngineRequirements &need,
+                                                                AskPermit ask,
                                                                 peer::Suggestion suggestion,
-                                                                NoPermit &refusal)
+                                                                PermitRefusal &refusal)
 {
     auto &owner = context_.kernel.find<OwnerService>("owner");
     const BackendView *backend = owner.view().findShort(suggestion.engine);
@@ -348,7 +352,7 @@
             .reason = reason};
 }
 
-AskPermit PermitService::askFor(const Need &need) const
+AskPermit PermitService::askFor(const EngineRequirements &need) const
 {
     return {.kind = AskKind::Engine,
             .request = context_.random(),
--- a/src/services/PermitService.h
+++ b/src/services/PermitService.h
@@ -12,7 +12,7 @@
 #include "peer/Messages.h"
 #include "services/Context.h"
 #include "services/HallView.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <map>
@@ -26,7 +26,7 @@
 namespace limereel::services {
 
 /** What a request needs an engine for. */
-struct Need
+struct EngineRequirements
 {
     std::uint64_t organisation = 0; ///< Hash of its path.
     kernel::ChatKey chat = 0;
@@ -47,11 +47,11 @@
     routing::Reason reason = routing::Reason::First;
 
     /** Names the life of the engine. */
-    std::uint64_t life() const { return kernel::combine(resource, incarnation); }
+    std::uint64_t incarnationKey() const { return kernel::combine(resource, incarnation); }
 };
 
 /** Why there is no permit. */
-struct NoPermit
+struct PermitRefusal
 {
     outcome::ResultCode code = outcome::ResultCode::NoEngine;
     kernel::Duration comeBackIn{};
@@ -68,10 +68,12 @@
     void stop() override;
 
     /** A place on an engine of this hall. */
-    boost::asio::awaitable<tl::expected<Permit, NoPermit>> acquireEngine(Need need);
+    boost::asio::awaitable<tl::expected<Permit, PermitRefusal>>
+    acquireEngine(EngineRequirements need);
 
     /** A place within an organisation's limits. */
-    boost::asio::awaitable<tl::expected<Permit, NoPermit>> acquireQuota(std::uint64_t organisation);
+    boost::asio::awaitable<tl::expected<Permit, PermitRefusal>>
+    acquireQuota(std::uint64_t organisation);
 
     /** Gives a permit back, with what was seen of the engine. */
     void giveBack(const Permit &permit, peer::Observed observed);
@@ -79,15 +81,15 @@
     std::size_t held() const { return held_.size(); }
 
     /** An ask that fits \a need, under a new request id. */
-    peer::AskPermit askFor(const Need &need) const;
+    peer::AskPermit askFor(const EngineRequirements &need) const;
 
     /** Asks the box at \a where, twice if it must; nothing if it doesn't answer. */
     boost::asio::awaitable<std::optional<peer::PermitAnswer>>
     askAt(kernel::Endpoint where, peer::AskPermit ask, kernel::Duration timeout);
 
     /** Keeps \a permit, which the box at \a delegate holds for this one under \a ask. */
-    void holdAbroad(const peer::AskPermit &ask, const Permit &permit,
-                    const kernel::Endpoint &delegate);
+    void holdInOtherHall(const peer::AskPermit &ask, const Permit &permit,
+                         const kernel::Endpoint &delegate);
 
 private:
     struct Pending;
@@ -112,10 +114,12 @@
     boost::asio::awaitable<std::optional<peer::PermitAnswer>> askBox(std::uint64_t box,
                                                                      peer::AskPermit ask);
     boost::asio::awaitable<std::optional<Answered>> askOwner(peer::AskPermit ask);
-    boost::asio::awaitable<std::optional<Permit>> tryEngine(const Need &need, peer::AskPermit ask,
+    boost::asio::awaitable<std::optional<Permit>> tryEngine(const EngineRequirements &need,
+                                                            peer::AskPermit ask,
                                                             peer::Suggestion suggestion,
-                                                            NoPermit &refusal);
-    bool excludeResting(Need &need, const std::vector<routing::Candidate> &engines) const;
+                                                            PermitRefusal &refusal);
+    bool excludeResting(EngineRequirements &need,
+                        const std::vector<routing::Candidate> &engines) const;
     Permit take(const peer::AskPermit &ask, std::uint64_t owner, const BackendView &backend,
                 routing::Reason reason);
     boost::asio::awaitable<kernel::Duration> renewRound();
@@ -124,7 +128,7 @@
     Context &context_;
     std::unordered_map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::unordered_map<std::uint64_t, Held> held_;
-    std::unique_ptr<Repeat> renewLoop_;
+    std::unique_ptr<PeriodicTask> renewLoop_;
 };
 
 } // namespace limereel::services
--- a/src/services/PlacementService.cpp
+++ b/src/services/PlacementService.cpp
@@ -63,7 +63,7 @@
 
 void PlacementService::start()
 {
-    loop_ = std::make_unique<Repeat>(context_.io, [this] { return round(); });
+    loop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return round(); });
 }
 
 void PlacementService::stop()
--- a/src/services/PlacementService.h
+++ b/src/services/PlacementService.h
@@ -10,7 +10,7 @@
 #include "placement/FencedLease.h"
 #include "placement/Planner.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <map>
@@ -46,7 +46,7 @@
     std::uint64_t leaseVersion_ = 0; ///< Of the lease's object.
     placement::Planner planner_;
     std::map<std::string, double> smoothed_; ///< In flight by model.
-    std::unique_ptr<Repeat> loop_;
+    std::unique_ptr<PeriodicTask> loop_;
 };
 
 } // namespace limereel::services
--- a/src/services/Router.cpp
+++ b/src/services/Router.cpp
@@ -2,6 +2,7 @@
 
 #include "kernel/HeldSignals.h"
 #include "kernel/Log.h"
+#include "services/BackoffService.h"
 #include "services/CallerService.h"
 #include "services/ClaimService.h"
 #include "services/ConfigService.h"
@@ -16,7 +17,6 @@
 #include "services/PermitService.h"
 #include "services/PlacementService.h"
 #include "services/PlatformService.h"
-#include "services/RestService.h"
 #include "services/SpillService.h"
 #include "services/Start.h"
 #include "services/StopService.h"
@@ -37,10 +37,10 @@
 }
 
 // Boxes of the own hall, as the platform lists them.
-Acquaintance acquaintanceOf(Context &context)
+PeerDiscovery peerDiscoveryOf(Context &context)
 {
-    Acquaintance acquaintance;
-    acquaintance.listed = [&context] {
+    PeerDiscovery discovery;
+    discovery.listed = [&context] {
         std::vector<kernel::KnownBox> known;
         for (const auto &box : context.kernel.find<DirectoryService>("directory").own().boxes) {
             if (const auto address = kernel::endpointFrom(box.peer)) {
@@ -49,7 +49,7 @@
         }
         return known;
     };
-    return acquaintance;
+    return discovery;
 }
 
 } // namespace
@@ -61,9 +61,9 @@
     kernel.add(std::make_unique<PeerService>(context));
     kernel.add(std::make_unique<PlatformService>(context));
     kernel.add(std::make_unique<DirectoryService>(context));
-    kernel.add(std::make_unique<MembershipService>(context, acquaintanceOf(context)));
+    kernel.add(std::make_unique<MembershipService>(context, peerDiscoveryOf(context)));
     kernel.add(std::make_unique<CrashService>(context));
-    kernel.add(std::make_unique<RestService>(context));
+    kernel.add(std::make_unique<BackoffService>(context));
     kernel.add(std::make_unique<ConfigService>(context));
     kernel.add(std::make_unique<OwnerService>(context));
     kernel.add(std::make_unique<PermitService>(context));
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -4,12 +4,12 @@
 #include "outcome/NextStep.h"
 #include "outcome/Story.h"
 #include "services/Answers.h"
+#include "services/BackoffService.h"
 #include "services/ClaimService.h"
 #include "services/ConfigService.h"
 #include "services/CrashGuard.h"
 #include "services/OwnerService.h"
 #include "services/PermitService.h"
-#include "services/RestService.h"
 
 #include <algorithm>
 #include <set>
@@ -153,9 +153,10 @@
     asio::awaitable<std::optional<Refusal>> attempts()
     {
         for (int number = 1;; ++number) {
-            const SendLeave leave = co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
+            const SendPermission leave =
+                    co_await guard_.acquireSendPermission(context_.settings.firstTokenTimeout);
             if (!leave.granted()) {
-                co_return tell(refusalOf(codeOf(leave), whyNoLeave(leave), leave.comeBack));
+                co_return tell(refusalOf(codeOf(leave), denialMessage(leave), leave.notBefore));
             }
             const auto runner = choose();
             if (!runner) {
@@ -190,11 +191,11 @@
     {
         auto runners =
                 context_.kernel.find<OwnerService>("owner").view().runnersOf(target_.service);
-        const auto &rests = context_.kernel.find<RestService>("rests");
+        const auto &rests = context_.kernel.find<BackoffService>("rests");
         someRest_ = false;
         std::erase_if(runners, [&](const BackendView *runner) {
             const std::uint64_t hash = runner->listed.backend.hash();
-            const bool resting = rests.rests(hash);
+            const bool resting = rests.inBackoff(hash);
             someRest_ = someRest_ || resting;
             return resting || excluded_.contains(hash);
         });
@@ -222,9 +223,9 @@
                   const tl::expected<http::Answer, http::CallFailure> &answer)
     {
         if (answer) {
-            context_.kernel.find<RestService>("rests").note(
+            context_.kernel.find<BackoffService>("rests").note(
                     runner.backend.hash(), runner.backend.text(),
-                    restAsked(answer->status, answer->fields));
+                    requestedBackoff(answer->status, answer->fields));
         }
     }
 
@@ -267,11 +268,11 @@
     {
         AttemptServer server;
         server.id = runner.backend.text();
-        server.life = runner.backend.hash();
+        server.incarnationKey = runner.backend.hash();
         if (const auto address = kernel::endpointFrom(runner.address)) {
             server.address = *address;
         }
-        co_await guard_.noteEnd(failure ? sightOf(*failure) : AttemptSight::Whole,
+        co_await guard_.noteEnd(failure ? attemptOutcomeOf(*failure) : AttemptOutcome::Whole,
                                 std::move(server));
     }
 
--- a/src/services/SpillService.cpp
+++ b/src/services/SpillService.cpp
@@ -48,7 +48,7 @@
                     asio::co_spawn(context_.io, serve(*ask, from), asio::detached);
                 }
             });
-    lapseLoop_ = std::make_unique<Repeat>(context_.io, [this] { return lapseRound(); });
+    lapseLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return lapseRound(); });
 }
 
 void SpillService::stop()
@@ -56,9 +56,9 @@
     lapseLoop_.reset();
 }
 
-asio::awaitable<tl::expected<Permit, NoPermit>> SpillService::acquire(Need need)
+asio::awaitable<tl::expected<Permit, PermitRefusal>> SpillService::acquire(EngineRequirements need)
 {
-    NoPermit refusal{ResultCode::NoEngine, ComeBackWithoutWord};
+    PermitRefusal refusal{ResultCode::NoEngine, ComeBackWithoutWord};
     AskPermit ask = context_.kernel.find<PermitService>("permits").askFor(need);
     ask.kind = AskKind::Spill;
     for (const std::string &hall : hallsInOrder(need.chat)) {
@@ -93,7 +93,7 @@
 }
 
 asio::awaitable<std::optional<Permit>> SpillService::tryHall(std::string hall, AskPermit ask,
-                                                             NoPermit &refusal)
+                                                             PermitRefusal &refusal)
 {
     std::vector<kernel::Endpoint> boxes;
     for (const auto &box :
@@ -133,7 +133,7 @@
                             .backend = *engine,
                             .incarnation = 0,
                             .reason = Reason::Spilled};
-        permits.holdAbroad(ask, permit, box);
+        permits.holdInOtherHall(ask, permit, box);
         co_return permit;
     }
     co_return std::nullopt;
@@ -152,11 +152,11 @@
         }
         co_return;
     }
-    Need need{.organisation = ask.organisation,
-              .chat = ask.chat,
-              .model = ask.model,
-              .candidates = pool->candidates,
-              .excluded = {ask.excluded.begin(), ask.excluded.end()}};
+    EngineRequirements need{.organisation = ask.organisation,
+                            .chat = ask.chat,
+                            .model = ask.model,
+                            .candidates = pool->candidates,
+                            .excluded = {ask.excluded.begin(), ask.excluded.end()}};
     const auto permit =
             co_await context_.kernel.find<PermitService>("permits").acquireEngine(std::move(need));
     delegating_.erase(ask.request);
--- a/src/services/SpillService.h
+++ b/src/services/SpillService.h
@@ -8,8 +8,8 @@
 #pragma once
 
 #include "kernel/decisions/AwakeTime.h"
+#include "services/PeriodicTask.h"
 #include "services/PermitService.h"
-#include "services/Repeat.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <memory>
@@ -33,7 +33,7 @@
     void stop() override;
 
     /** A place on an engine of another hall: those of the own region first. */
-    boost::asio::awaitable<tl::expected<Permit, NoPermit>> acquire(Need need);
+    boost::asio::awaitable<tl::expected<Permit, PermitRefusal>> acquire(EngineRequirements need);
 
     /** Takes back a permit that is held for another hall. \return false if it is none of these. */
     bool take(const peer::GiveBack &message);
@@ -51,7 +51,7 @@
 
     std::vector<std::string> hallsInOrder(kernel::ChatKey chat) const;
     boost::asio::awaitable<std::optional<Permit>> tryHall(std::string hall, peer::AskPermit ask,
-                                                          NoPermit &refusal);
+                                                          PermitRefusal &refusal);
     boost::asio::awaitable<void> serve(peer::AskPermit ask, kernel::Endpoint from);
     void sendAnswer(const peer::AskPermit &ask, const kernel::Endpoint &from);
     kernel::Instant awake();
@@ -62,7 +62,7 @@
     kernel::AwakeTime awake_; ///< What is held for other halls lapses by it.
     std::unordered_map<std::uint64_t, Delegated> delegated_; ///< By the asker's request.
     std::set<std::uint64_t> delegating_;                     ///< Asks that are being served.
-    std::unique_ptr<Repeat> lapseLoop_;
+    std::unique_ptr<PeriodicTask> lapseLoop_;
 };
 
 } // namespace limereel::services
--- a/test/correctness/ChatRestTest.cpp
+++ b/test/correctness/ChatBackoffTest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ChatRestTest, RestFleet)
+BOOST_FIXTURE_TEST_SUITE(ChatBackoffTest, RestFleet)
 
 BOOST_AUTO_TEST_CASE(engine_asksForRest_isSentNothingMore)
 {
--- a/test/correctness/EngineChoiceTest.cpp
+++ b/test/correctness/EngineChoiceTest.cpp
@@ -110,7 +110,7 @@
         return true;
     }
 
-    services::Need needOf(int chat)
+    services::EngineRequirements needOf(int chat)
     {
         const kernel::OrganisationId organisation("/accra/hauler-a");
         return {.organisation = organisation.hash(),
@@ -120,10 +120,10 @@
                 .candidates = 5};
     }
 
-    tl::expected<services::Permit, services::NoPermit> acquire(std::size_t router,
-                                                               services::Need need)
+    tl::expected<services::Permit, services::PermitRefusal>
+    acquire(std::size_t router, services::EngineRequirements need)
     {
-        tl::expected<services::Permit, services::NoPermit> result;
+        tl::expected<services::Permit, services::PermitRefusal> result;
         fleet.await([&]() -> asio::awaitable<void> {
             result = co_await at<services::PermitService>(router, "permits").acquireEngine(need);
         });
@@ -163,7 +163,7 @@
     }
 
     /** A chat whose first candidate is \a engine, while all are open. */
-    services::Need needWithHome(std::size_t engine)
+    services::EngineRequirements needWithHome(std::size_t engine)
     {
         int chat = 0;
         const auto engines = owner(0).view().enginesOf(model);
@@ -175,11 +175,11 @@
     }
 
     /** Asks at \a router right after only the owners of \a failed know that these are down. */
-    tl::expected<services::Permit, services::NoPermit>
-    acquireAfterUnheardFailure(std::size_t router, services::Need need,
+    tl::expected<services::Permit, services::PermitRefusal>
+    acquireAfterUnheardFailure(std::size_t router, services::EngineRequirements need,
                                const std::set<std::size_t> &failed)
     {
-        tl::expected<services::Permit, services::NoPermit> result;
+        tl::expected<services::Permit, services::PermitRefusal> result;
         fleet.await([&]() -> asio::awaitable<void> {
             failUnheard(failed);
             BOOST_TEST(std::ranges::any_of(
@@ -196,7 +196,7 @@
         fillAllBut(free);
         for (int chat = 0; chat < Chats; ++chat) {
             const std::size_t router = static_cast<std::size_t>(chat) % fleet.routerCount();
-            services::Need need = needOf(chat);
+            services::EngineRequirements need = needOf(chat);
             need.excluded = excluded;
             const auto permit = acquire(router, need);
             BOOST_TEST_CONTEXT("chat " << chat)
@@ -276,7 +276,7 @@
 {
     fillAllBut({Failed});
     for (int chat = 0; chat < Chats; ++chat) {
-        services::Need need = needOf(chat);
+        services::EngineRequirements need = needOf(chat);
         need.excluded = {hashOf(Failed)};
         const auto permit = acquire(static_cast<std::size_t>(chat) % fleet.routerCount(), need);
         BOOST_REQUIRE(!permit.has_value());
@@ -363,7 +363,7 @@
 BOOST_AUTO_TEST_CASE(homesOwnEngineIsFullAndTheRestAreDown_chatIsRefusedAsFull)
 {
     constexpr std::size_t Full = 0;
-    const services::Need need = needWithHome(Full);
+    const services::EngineRequirements need = needWithHome(Full);
     const std::size_t home = ownerOf(Full);
     // All have the same load, so the chat's first candidate is the first choice.
     fillAllBut({});
--- a/test/correctness/HallsTest.cpp
+++ b/test/correctness/HallsTest.cpp
@@ -31,10 +31,10 @@
 const membership::ShortHash SmallModel = membership::shortHash(kernel::hashOf("small"));
 
 /** Asks the other halls for a place, as the first router does when its own hall has none. */
-tl::expected<services::Permit, services::NoPermit> acquireAbroad(Fleet &fleet)
+tl::expected<services::Permit, services::PermitRefusal> acquireAbroad(Fleet &fleet)
 {
-    const services::Need need{.organisation = 1, .chat = 2, .model = SmallModel};
-    tl::expected<services::Permit, services::NoPermit> result;
+    const services::EngineRequirements need{.organisation = 1, .chat = 2, .model = SmallModel};
+    tl::expected<services::Permit, services::PermitRefusal> result;
     fleet.await([&]() -> asio::awaitable<void> {
         auto &spill = fleet.context(0).kernel.find<services::SpillService>("spill");
         result = co_await spill.acquire(need);
@@ -165,7 +165,7 @@
     fleet.routers("hall-a", 1).engines("hall-b", 1).routers("hall-b", 1);
     fleet.start();
     BOOST_TEST(fleet.until([&] { return fleet.chat(0, Turn{}).whole; }));
-    services::Need need{
+    services::EngineRequirements need{
             .organisation = 1, .chat = 2, .model = membership::shortHash(kernel::hashOf("small"))};
     fleet.await([&]() -> asio::awaitable<void> {
         const auto permit =
--- a/test/platform/GatewayStallTest.cpp
+++ b/test/platform/GatewayStallTest.cpp
@@ -165,7 +165,7 @@
     std::optional<gateway::ObjectFeed> feed;
 
 private:
-    static services::Acquaintance noOthers() { return {}; }
+    static services::PeerDiscovery noOthers() { return {}; }
 
     kernel::BoxSettings settings() const
     {
