--- a/src/services/HallView.cpp
+++ b/src/services/HallView.cpp
@@ -20,7 +20,7 @@
 
 using Reports = std::unordered_multimap<ShortHash, Report>;
 
-Reports collect(const std::vector<membership::BoxState> &states)
+Reports collectReports(const std::vector<membership::BoxState> &states)
 {
     Reports reports;
     for (const auto &state : states) {
@@ -31,18 +31,18 @@
     return reports;
 }
 
-const Report *believe(const Reports &reports, std::uint64_t backend,
-                      const std::vector<std::uint64_t> &owners)
+const Report *chooseReport(const Reports &reports, std::uint64_t backend,
+                           const std::vector<std::uint64_t> &owners)
 {
     const auto [begin, end] = reports.equal_range(membership::shortHash(backend));
     const auto owner = begin == end ? std::nullopt : membership::ownerOf(backend, owners);
     const Report *best = nullptr;
-    for (auto place = begin; place != end; ++place) {
-        if (owner && place->second.box == *owner) {
-            return &place->second;
+    for (auto entry = begin; entry != end; ++entry) {
+        if (owner && entry->second.box == *owner) {
+            return &entry->second;
         }
-        if (best == nullptr || place->second.state->inFlight > best->state->inFlight) {
-            best = &place->second;
+        if (best == nullptr || entry->second.state->inFlight > best->state->inFlight) {
+            best = &entry->second;
         }
     }
     return best;
@@ -64,18 +64,18 @@
 
 const BackendView *HallView::find(std::uint64_t hash) const
 {
-    const auto place = std::ranges::find_if(backends, [hash](const BackendView &backend) {
+    const auto entry = std::ranges::find_if(backends, [hash](const BackendView &backend) {
         return backend.listed.backend.hash() == hash;
     });
-    return place == backends.end() ? nullptr : &*place;
+    return entry == backends.end() ? nullptr : &*entry;
 }
 
 const BackendView *HallView::findShort(ShortHash hash) const
 {
-    const auto place = std::ranges::find_if(backends, [hash](const BackendView &backend) {
+    const auto entry = std::ranges::find_if(backends, [hash](const BackendView &backend) {
         return membership::shortHash(backend.listed.backend.hash()) == hash;
     });
-    return place == backends.end() ? nullptr : &*place;
+    return entry == backends.end() ? nullptr : &*entry;
 }
 
 std::vector<routing::Candidate> HallView::enginesOf(ShortHash model) const
@@ -120,12 +120,12 @@
 HallView makeHallView(const store::HallList &list, const std::vector<membership::BoxState> &states,
                       const std::vector<std::uint64_t> &owners)
 {
-    const Reports reports = collect(states);
+    const Reports reports = collectReports(states);
     HallView view;
     view.backends.reserve(list.backends.size());
     for (const auto &listed : list.backends) {
         BackendView backend{listed, {}, false, 0};
-        if (const auto *const report = believe(reports, listed.backend.hash(), owners)) {
+        if (const auto *const report = chooseReport(reports, listed.backend.hash(), owners)) {
             backend.state = *report->state;
             backend.reported = true;
             backend.reporter = report->box;
--- a/src/services/OwnedBackends.cpp
+++ b/src/services/OwnedBackends.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-// A probe's answer may be read late, by a loop that stood still.
+// An event loop that was stalled may read a probe's answer late.
 constexpr int ProbesKept = 2;
-constexpr int MostSkips =
-        3; ///< Probe rounds in a row that a serving backend server is passed over.
+constexpr int MaxSkips =
+        3; ///< Probe rounds in a row that a backend server which serves requests is skipped.
 
 const kernel::Log &log()
 {
@@ -47,7 +47,7 @@
     : context_(context)
     , policy_(policy)
     , changed_(std::move(changed))
-    , permitsThen_(context.settings.loadLag + ProbesKept * context.settings.probePeriod)
+    , pastPermits_(context.settings.loadLag + ProbesKept * context.settings.probePeriod)
 {
 }
 
@@ -63,8 +63,8 @@
 
 OwnedBackend *OwnedBackends::find(std::uint64_t backend)
 {
-    const auto place = backends_.find(backend);
-    return place == backends_.end() ? nullptr : &place->second;
+    const auto found = backends_.find(backend);
+    return found == backends_.end() ? nullptr : &found->second;
 }
 
 void OwnedBackends::reconcile(const HallView &known, kernel::Instant awake)
@@ -76,14 +76,14 @@
     for (const auto &listed : list.backends) {
         const std::uint64_t hash = listed.backend.hash();
         const bool own = membership::ownerOf(hash, owners) == membership.self();
-        const auto place = backends_.find(hash);
-        // What still has permits of ours is kept until they end: the next owner can't see them all
-        // yet.
-        if (place != backends_.end() && (own || place->second.ledger.inFlight() > 0)) {
-            place->second.listed = listed;
-            place->second.ledger.setLeaving(place->second.leaving || listed.leaving);
-            kept.insert(backends_.extract(place));
-        } else if (own && place == backends_.end()) {
+        const auto found = backends_.find(hash);
+        // A server with permits that were granted here is kept until they end: the next owner
+        // doesn't know all of them yet.
+        if (found != backends_.end() && (own || found->second.ledger.inFlight() > 0)) {
+            found->second.listed = listed;
+            found->second.ledger.setLeaving(found->second.leaving || listed.leaving);
+            kept.insert(backends_.extract(found));
+        } else if (own && found == backends_.end()) {
             adopt(listed, known, awake);
             kept.insert(backends_.extract(hash));
         }
@@ -94,8 +94,8 @@
 void OwnedBackends::adopt(const store::ListedBackend &listed, const HallView &known,
                           kernel::Instant awake)
 {
-    const BackendView *const before = known.find(listed.backend.hash());
-    const bool takeover = before != nullptr && before->reported;
+    const BackendView *const previous = known.find(listed.backend.hash());
+    const bool takeover = previous != nullptr && previous->reported;
     OwnedBackend owned{.listed = listed,
                        .ledger = routing::PermitLedger(policy_, awake, takeover),
                        .health = {},
@@ -106,14 +106,14 @@
                        .unknownLoad = 0,
                        .skips = 0,
                        .served = false};
-    // Until the first probe, what the owner before said is the best there is.
+    // Until the first probe, the previous owner's report is the best information.
     if (takeover) {
-        owned.models = before->state.models;
+        owned.models = previous->state.models;
     }
-    if (takeover && before->state.usable) {
-        owned.health.noteGood(before->state.incarnation, context_.now());
-        owned.leaving = before->state.leaving;
-        owned.unknownLoad = before->state.inFlight;
+    if (takeover && previous->state.usable) {
+        owned.health.noteGood(previous->state.incarnation, context_.now());
+        owned.leaving = previous->state.leaving;
+        owned.unknownLoad = previous->state.inFlight;
     }
     owned.ledger.setLeaving(owned.leaving || listed.leaving);
     backends_.emplace(listed.backend.hash(), std::move(owned));
@@ -127,7 +127,7 @@
     if (owned != nullptr && owned->ledger.giveBack(request)) {
         return true;
     }
-    // One whose grant never arrived doesn't know which engine it was for: it names the chat's first
+    // A box that never received the grant doesn't know its engine and names the chat's first
     // candidate.
     return std::ranges::any_of(
             backends_, [request](auto &entry) { return entry.second.ledger.giveBack(request); });
@@ -150,7 +150,7 @@
         loads[hash] = owned.ledger.inFlight() + owned.unknownLoad;
         permits[hash] = owned.ledger.inFlight();
     }
-    permitsThen_.note(std::move(permits), now);
+    pastPermits_.note(std::move(permits), now);
     return loads;
 }
 
@@ -192,10 +192,10 @@
 asio::awaitable<kernel::Duration> OwnedBackends::probeRound()
 {
     for (auto &[hash, owned] : backends_) {
-        // One that has just served a request is there; it refuses by itself once it leaves.
-        // Load that this owner doesn't know of, though, is only seen by probes.
+        // A server that has just served a request is reachable, and refuses requests by itself once
+        // it leaves. Only probes show load that this owner doesn't know of, however.
         const bool skip = std::exchange(owned.served, false) && owned.health.usable()
-                          && owned.unknownLoad == 0 && owned.skips < MostSkips;
+                          && owned.unknownLoad == 0 && owned.skips < MaxSkips;
         owned.skips = skip ? owned.skips + 1 : 0;
         if (!skip) {
             probeNow(hash);
@@ -223,22 +223,22 @@
                                       .part = context_.settings.connectTimeout};
     const auto answer =
             co_await http::call(context_.io, *endpoint, {"GET", "/v1/status", {}, {}}, timeouts);
-    // Ownership may have passed on while the probe was out.
+    // Another box may have become the owner while the probe was under way.
     owned = find(backend);
     if (owned == nullptr) {
         co_return;
     }
     owned->probing = false;
     context_.counters.add("probes", {{"result", answer ? "answered" : "failed"}});
-    const bool before = owned->health.usable();
+    const bool wasUsable = owned->health.usable();
     if (answer && answer->status == 200) {
         takeProbe(*owned, answer->body, asked);
     } else {
         owned->health.noteBad(context_.now());
     }
-    if (before != owned->health.usable()) {
+    if (wasUsable != owned->health.usable()) {
         log().info("Backend server " + owned->listed.backend.text()
-                   + (before ? " is no longer usable." : " is usable."));
+                   + (wasUsable ? " is no longer usable." : " is usable."));
         changed_();
     }
 }
@@ -251,16 +251,17 @@
         return;
     }
     owned.health.noteGood(status.value("incarnation", 1U), context_.now());
-    // Its own word is newer than the platform's list.
+    // The server's own report is newer than the platform's list.
     owned.leaving = status.value("leaving", false);
     owned.ledger.setLeaving(owned.leaving || owned.listed.leaving);
     const auto running = status.value("running", 0U);
-    // The report is old. What this box had granted at any moment since then explains it.
+    // The reported load is up to loadLag old. It counts as known up to the most permits that this
+    // box had granted at any moment since then; the rest is unknown load.
     const std::uint64_t engine = owned.listed.backend.hash();
-    const std::uint32_t explained =
+    const std::uint32_t knownLoad =
             std::max(owned.ledger.inFlight(),
-                     permitsThen_.greatest(engine, asked - context_.settings.loadLag));
-    owned.unknownLoad = running > explained ? running - explained : 0;
+                     pastPermits_.greatest(engine, asked - context_.settings.loadLag));
+    owned.unknownLoad = running > knownLoad ? running - knownLoad : 0;
     owned.models = modelsIn(status, "models");
     owned.loading = modelsIn(status, "loading");
 }
--- a/src/services/OwnedBackends.h
+++ b/src/services/OwnedBackends.h
@@ -1,10 +1,10 @@
 /** \file
- * The backend servers that this box owns: which they are, what their probes say, and the ledgers of
- * their permits.
+ * The backend servers that this box owns: which they are, the results of their probes, and the
+ * ledgers of their permits.
  *
- * Ownership follows the members of the hall at each heartbeat. A server that passes on to another
- * box is kept until the permits that were granted here have ended, as the next owner can't see them
- * all yet.
+ * Ownership is updated from the members of the hall at each heartbeat. A server that another box
+ * owns from now on is kept until the permits that were granted here have ended, as the next owner
+ * doesn't know all of them yet.
  */
 #pragma once
 
@@ -24,7 +24,7 @@
 
 namespace limereel::services {
 
-/** One of them. */
+/** A backend server that this box owns. */
 struct OwnedBackend
 {
     store::ListedBackend listed;
@@ -35,11 +35,11 @@
     std::vector<membership::ShortHash> models;
     std::vector<membership::ShortHash> loading;
     std::uint32_t unknownLoad = 0;
-    int skips = 0;       ///< Probe rounds passed over since the last probe.
-    bool served = false; ///< A request was served since the last round.
+    int skips = 0;       ///< Probe rounds skipped since the last probe.
+    bool served = false; ///< A request was served since the last probe round.
 };
 
-/** All of them. */
+/** All backend servers that this box owns. */
 class OwnedBackends
 {
 public:
@@ -49,36 +49,36 @@
     void start();
     void stop();
 
-    /** Takes over what falls to this box now, and lets go of what no longer does.
-     * \param known what was known of the hall until now: the word of the owners before.
-     * \param awake by which the leases of permits go. */
+    /** Takes over the servers that this box owns from now on, and drops those of other owners.
+     * \param known the hall as it was known until now, with the previous owners' reports.
+     * \param awake the time by which the leases of permits run. */
     void reconcile(const HallView &known, kernel::Instant awake);
 
     /** Takes over \a listed, which this box doesn't own yet. */
     void adopt(const store::ListedBackend &listed, const HallView &known, kernel::Instant awake);
 
-    /** The owned one with that hash; nullptr if there is none. Good until the next review(). */
+    /** The owned server with this hash; nullptr if there is none. Valid until the next review(). */
     OwnedBackend *find(std::uint64_t backend);
 
-    /** Ends the permit of \a request, on \a backend or whichever server has it.
-     * \return false if none has. */
+    /** Ends the permit of \a request on \a backend or, if it isn't there, on another owned server.
+     * \return false if there is no such permit. */
     bool giveBack(std::uint64_t backend, std::uint64_t request);
 
     /** Drops permits that weren't renewed in time. \return how many. */
     std::size_t expire(kernel::Instant now);
 
-    /** Notes the permits of this heartbeat, which explain what engines will report.
+    /** Notes the permits at this heartbeat, to be compared with loads that engines report later.
      * \return the loads by server. */
     routing::OwnLoads noteBeat(kernel::Instant now);
 
-    /** What this box says of its servers to the others. */
+    /** What this box reports of its servers to the other boxes. */
     std::vector<membership::BackendState> states() const;
     membership::BackendState stateOf(const OwnedBackend &owned) const;
 
-    /** In flight on those that hold \a model. */
+    /** Requests in flight on the owned servers that hold \a model. */
     std::uint32_t load(membership::ShortHash model) const;
 
-    /** Probes one out of turn. */
+    /** Probes \a backend at once, without waiting for the next round. */
     void probeNow(std::uint64_t backend);
 
     std::size_t size() const { return backends_.size(); }
@@ -92,7 +92,8 @@
     routing::PermitPolicy policy_;
     std::function<void()> changed_;
     std::map<std::uint64_t, OwnedBackend> backends_;
-    routing::PermitHistory permitsThen_; ///< Explains what an engine reports.
+    routing::PermitHistory
+            pastPermits_; ///< Past permits, compared with the loads that engines report.
     std::unique_ptr<PeriodicTask> probeLoop_;
 };
 
--- a/src/services/OwnerService.cpp
+++ b/src/services/OwnerService.cpp
@@ -22,11 +22,11 @@
 
 namespace {
 
-// With the default of five candidates all are asked, the chat's last engine and the two least
-// loaded of the pool besides.
-constexpr std::size_t MostChoices = 8;
-constexpr std::size_t LineLength =
-        2; ///< Boxes that may answer for a resource: its owner and the next.
+// With the default of five candidates, these, the chat's last engine and the two least loaded
+// engines of the pool are all asked.
+constexpr std::size_t MaxChoices = 8;
+constexpr std::size_t BoxesInOrder =
+        2; ///< Boxes that may answer for a resource: its owner and the next in order.
 
 PermitResult resultOf(GrantResult result)
 {
@@ -74,7 +74,7 @@
     auto &membership = context_.kernel.find<MembershipService>("membership");
     membership.beforeHeartbeat(
             [this](membership::BoxState &state) { state.backends = backends_.states(); });
-    membership.afterHeartbeat([this] { beat(); });
+    membership.afterHeartbeat([this] { onHeartbeat(); });
     backends_.start();
 }
 
@@ -100,9 +100,9 @@
     case AskKind::Quota:
         answer = decideQuota(ask);
         break;
-    case AskKind::Spill:   // Answered by the spill service, as it needs asks of its own.
-    case AskKind::Holders: // Of gateways; chats of the own interface are found by their home.
-    case AskKind::Start:   // Of gateways.
+    case AskKind::Spill:   // The spill service answers it, as it has to ask other owners first.
+    case AskKind::Holders: // Only gateways ask; routers ask for a chat's engine with Home.
+    case AskKind::Start:   // Only gateways ask.
         break;
     }
     answer.request = ask.request;
@@ -152,9 +152,9 @@
     remember(placed);
 }
 
-// A chat's home is the owner of its first open candidate. While the engine that would be first is
-// down, the owner of that one is told as well: it will be the home again, and must know where the
-// chat went.
+// A chat's home is its first available candidate, whose owner remembers where the chat ran. While
+// the engine that would otherwise be first is down, its owner is informed too: that engine will be
+// the home again, and its owner then has to know where the chat ran meanwhile.
 void OwnerService::remember(const peer::Placed &placed)
 {
     const BackendView *const backend = view().findShort(placed.engine);
@@ -166,15 +166,15 @@
     if (placed.passedOn || all.empty()) {
         return;
     }
-    const std::uint64_t natural = routing::candidatesFor(placed.chat, all, 1).front().engine;
-    if (natural == placed.home) {
+    const std::uint64_t usualHome = routing::candidatesFor(placed.chat, all, 1).front().engine;
+    if (usualHome == placed.home) {
         return;
     }
     const auto &membership = context_.kernel.find<MembershipService>("membership");
-    const auto owner = membership::ownerOf(natural, membership.owners());
+    const auto owner = membership::ownerOf(usualHome, membership.owners());
     const auto address = owner ? membership.addressOf(*owner) : std::nullopt;
     if (address) {
-        const peer::Placed passedOn{placed.chat, natural, placed.engine, placed.model, true};
+        const peer::Placed passedOn{placed.chat, usualHome, placed.engine, placed.model, true};
         context_.kernel.find<PeerService>("peer").send(*address, passedOn);
     }
 }
@@ -187,7 +187,7 @@
                              membership.states(), membership.owners());
         viewStale_ = false;
     }
-    // What this box owns it knows to the moment.
+    // The state of the servers that this box owns is current.
     for (BackendView &backend : view_.backends) {
         if (const OwnedBackend *const owned = backends_.find(backend.listed.backend.hash());
             owned != nullptr) {
@@ -198,7 +198,7 @@
     return view_;
 }
 
-void OwnerService::beat()
+void OwnerService::onHeartbeat()
 {
     viewStale_ = true;
     backends_.reconcile(view_, awake());
@@ -211,17 +211,18 @@
     context_.counters.set("backends_owned", static_cast<double>(backends_.size()));
 }
 
-// After a standstill, permits whose renewals lie unread or are this box's own to make would look
-// lapsed, and as many requests would be let in over the bound.
+// The time by which leases run; it excludes stalls of this process. Otherwise permits would
+// seem expired after one, although their renewals are still unread or still to be sent by this box,
+// and that many more requests would be admitted over the bound.
 kernel::Instant OwnerService::awake()
 {
     return awake_.at(context_.now());
 }
 
-bool OwnerService::inLine(std::uint64_t resource) const
+bool OwnerService::mayAnswerFor(std::uint64_t resource) const
 {
     const auto &membership = context_.kernel.find<MembershipService>("membership");
-    const auto line = membership::ownersInLine(resource, membership.owners(), LineLength);
+    const auto line = membership::ownersInLine(resource, membership.owners(), BoxesInOrder);
     return std::ranges::find(line, membership.self()) != line.end();
 }
 
@@ -252,7 +253,8 @@
     loads_.noteSpoken(box, model, load, backends_.load(model), context_.now());
 }
 
-// How many periods old a heartbeat's word is: it takes about log2(boxes) periods to everyone.
+// The age of a heartbeat's report in heartbeat periods: it reaches all boxes in about log2(boxes)
+// periods.
 std::size_t OwnerService::reportAge() const
 {
     const std::size_t boxes = context_.kernel.find<MembershipService>("membership").owners().size();
@@ -284,7 +286,7 @@
 PermitAnswer OwnerService::decideHome(const AskPermit &ask)
 {
     PermitAnswer answer;
-    if (backends_.find(ask.resource) == nullptr && !inLine(ask.resource)) {
+    if (backends_.find(ask.resource) == nullptr && !mayAnswerFor(ask.resource)) {
         return answer;
     }
     const auto all = view().enginesOf(ask.model);
@@ -304,7 +306,7 @@
     const auto candidates = routing::candidatesFor(ask.chat, engines, count);
     const auto choices = routing::shortlist(routing::placeChat(candidates, chats_.find(ask.chat),
                                                                engines, poolView(ask.model, all)),
-                                            MostChoices);
+                                            MaxChoices);
     bool full = false;
     for (const routing::Choice &choice : choices) {
         const peer::Suggestion suggestion{shortHash(choice.engine),
@@ -324,7 +326,7 @@
         answer.suggestions.push_back(suggestion);
     }
     // The suggestions leave out the engines that were tried here. If one of these is full, the
-    // asker must know it: all that are suggested may be down.
+    // answer has to say so, as all suggested engines may be down.
     if (full) {
         answer.result = PermitResult::Full;
     } else {
@@ -342,9 +344,8 @@
 {
     PermitAnswer answer;
     OwnedBackend *owned = backends_.find(ask.resource);
-    if (owned == nullptr && inLine(ask.resource)) {
-        // Asked for an engine that another box owns in this box's eyes: the asker could not reach
-        // that one.
+    if (owned == nullptr && mayAnswerFor(ask.resource)) {
+        // As this box sees it, another box owns the engine. The asking box couldn't reach that one.
         if (const BackendView *const listed = view().find(ask.resource); listed != nullptr) {
             backends_.adopt(store::ListedBackend(listed->listed), view_, awake());
             owned = backends_.find(ask.resource);
@@ -366,7 +367,7 @@
 {
     PermitAnswer answer;
     const auto *const settings = organisation(ask.resource);
-    if (settings == nullptr || !inLine(ask.resource)) {
+    if (settings == nullptr || !mayAnswerFor(ask.resource)) {
         return answer;
     }
     const admission::QuotaLimits limits{settings->maxInFlight, settings->requestsPerMinute};
--- a/src/services/OwnerService.h
+++ b/src/services/OwnerService.h
@@ -1,5 +1,5 @@
 /** \file
- * Answers asks for the hall's backend servers that rendezvous hashing gives to this box, and
+ * Grants permits for the hall's backend servers that rendezvous hashing assigns to this box, and
  * remembers where the chats whose first candidate it owns have run.
  *
  * It owns organisations' quotas in the same way: a quota is a resource with places, like an engine.
@@ -34,34 +34,34 @@
     void start() override;
     void stop() override;
 
-    /** Decides an ask that came from this box or another one. */
+    /** Decides on a request for a permit, from this box or another one. */
     peer::PermitAnswer decide(const peer::AskPermit &ask);
 
     /** Takes back a permit. */
     void take(const peer::GiveBack &giveBack);
 
-    /** Keeps permits alive. */
+    /** Renews the leases of permits. */
     void take(const peer::Renew &renew);
 
     /** Notes where a chat ran. */
     void take(const peer::Placed &placed);
 
-    /** In flight on own engines that hold \a model. */
+    /** Requests in flight on the engines of this box that hold \a model. */
     std::uint32_t ownLoad(membership::ShortHash model) const { return backends_.load(model); }
 
-    /** Notes what \a box says it has in flight on its engines of \a model. */
+    /** Notes how many requests \a box reports in flight on its engines of \a model. */
     void noteLoad(std::uint64_t box, membership::ShortHash model, std::uint32_t load);
 
-    /** The hall as this box sees it now. The reference is good until the next call. */
+    /** The hall as this box sees it now. The reference is valid until the next call. */
     const HallView &view();
 
     /** Backend servers owned now. */
     std::size_t owned() const { return backends_.size(); }
 
 private:
-    void beat();
+    void onHeartbeat();
     kernel::Instant awake();
-    bool inLine(std::uint64_t resource) const;
+    bool mayAnswerFor(std::uint64_t resource) const;
     routing::PoolView poolView(membership::ShortHash model,
                                const std::vector<routing::Candidate> &engines);
     std::size_t reportAge() const;
@@ -75,7 +75,7 @@
 
     Context &context_;
     routing::PermitPolicy policy_;
-    kernel::AwakeTime awake_; ///< Leases of permits go by it.
+    kernel::AwakeTime awake_; ///< Clock of the permits' leases.
     OwnedBackends backends_;
     admission::QuotaBook quotas_;
     routing::ChatIndex chats_;
--- a/src/services/PermitService.cpp
+++ b/src/services/PermitService.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-constexpr std::size_t LineLength = 3; ///< Boxes that are asked before an ask is given up.
+constexpr std::size_t MaxBoxesAsked = 3; ///< Boxes that are asked before a permit is refused.
 constexpr int TriesPerBox = 2;
-constexpr kernel::Duration ComeBackWithoutWord = 1s;
+constexpr kernel::Duration DefaultRetryDelay = 1s;
 
 Reason reasonOf(std::uint8_t value)
 {
@@ -33,9 +33,10 @@
                                                                : Reason::Spilled;
 }
 
-// Only an engine that works can be full. Owners may know before this box that all are down; the
-// caller is told to wait for a place only where there is one to wait for.
-void noteRefusal(const PermitAnswer &answer, PermitRefusal &refusal)
+// Copies the owner's reason and retry delay. EnginesFull is set only if an owner says so: only a
+// working engine can be full, and owners may know before this box that all engines are down. The
+// caller then shouldn't be told to wait for a place.
+void updateRefusal(const PermitAnswer &answer, PermitRefusal &refusal)
 {
     if (answer.result == PermitResult::Full || answer.result == PermitResult::Unfair) {
         refusal.code = ResultCode::EnginesFull;
@@ -81,17 +82,16 @@
 {
     auto &owner = context_.kernel.find<OwnerService>("owner");
     if (const auto *const ask = std::get_if<AskPermit>(&message)) {
-        // The spill service takes those from other halls.
+        // The spill service handles those from other halls.
         if (ask->kind != AskKind::Spill) {
             context_.kernel.find<PeerService>("peer").send(from, owner.decide(*ask));
         }
     } else if (const auto *const answer = std::get_if<PermitAnswer>(&message)) {
-        if (const auto place = pending_.find(answer->request); place != pending_.end()) {
-            place->second->answer = *answer;
-            place->second->timer.cancel();
+        if (const auto entry = pending_.find(answer->request); entry != pending_.end()) {
+            entry->second->answer = *answer;
+            entry->second->timer.cancel();
         } else {
-            // Nobody waits for it any more; a place that it grants was given back when the wait
-            // ended.
+            // The wait for it has ended already. A place that it grants was given back then.
             context_.counters.add("late_answers");
         }
     } else if (const auto *const giveBack = std::get_if<peer::GiveBack>(&message)) {
@@ -106,22 +106,22 @@
     }
 }
 
-// Engines that have asked this box for rest are left out. Gives whether there are some.
-bool PermitService::excludeResting(EngineRequirements &need,
-                                   const std::vector<routing::Candidate> &engines) const
+// Excludes the engines that have asked this box to back off. Returns whether there are any.
+bool PermitService::excludeBackingOff(EngineRequirements &need,
+                                      const std::vector<routing::Candidate> &engines) const
 {
-    const auto &rests = context_.kernel.find<BackoffService>("rests");
+    const auto &backoffs = context_.kernel.find<BackoffService>("rests");
     const auto &view = context_.kernel.find<OwnerService>("owner").view();
-    bool some = false;
+    bool anyExcluded = false;
     for (const auto &engine : engines) {
         const BackendView *const backend = view.find(engine.engine);
         if (backend != nullptr
-            && rests.inBackoff(kernel::combine(engine.engine, backend->state.incarnation))) {
+            && backoffs.inBackoff(kernel::combine(engine.engine, backend->state.incarnation))) {
             need.excluded.insert(engine.engine);
-            some = true;
+            anyExcluded = true;
         }
     }
-    return some;
+    return anyExcluded;
 }
 
 asio::awaitable<tl::expected<Permit, PermitRefusal>>
@@ -129,12 +129,12 @@
 {
     auto &owner = context_.kernel.find<OwnerService>("owner");
     auto engines = owner.view().enginesOf(need.model);
-    const bool someRest = excludeResting(need, engines);
+    const bool anyBackingOff = excludeBackingOff(need, engines);
     std::erase_if(engines,
                   [&](const auto &engine) { return need.excluded.contains(engine.engine); });
-    PermitRefusal refusal{ResultCode::NoEngine, ComeBackWithoutWord};
+    PermitRefusal refusal{ResultCode::NoEngine, DefaultRetryDelay};
     if (engines.empty()) {
-        if (someRest) {
+        if (anyBackingOff) {
             refusal.code = ResultCode::ServersRest;
         }
         co_return tl::unexpected(refusal);
@@ -158,7 +158,7 @@
     const auto answered = co_await askOwner(ask);
     std::vector<peer::Suggestion> suggestions;
     if (answered) {
-        noteRefusal(answered->answer, refusal);
+        updateRefusal(answered->answer, refusal);
         suggestions = answered->answer.suggestions;
     }
     if (answered && answered->answer.result == PermitResult::Granted && !suggestions.empty()) {
@@ -174,8 +174,8 @@
         suggestions.clear();
     }
     if (suggestions.empty()) {
-        // The chat's home has no word, or only an engine that failed just now: the candidates are
-        // asked in order.
+        // The owner of the chat's first candidate didn't answer, suggested nothing, or granted only
+        // an engine that this request excludes: the candidates are asked in order.
         for (const auto &candidate : routing::candidatesFor(need.chat, engines, need.candidates)) {
             suggestions.push_back(
                     {shortHash(candidate.engine), static_cast<std::uint8_t>(Reason::First)});
@@ -215,13 +215,14 @@
                               std::chrono::milliseconds(answered->answer.comeBackMs)});
     }
     if (result == PermitResult::NotOwner) {
-        // Nobody keeps the count for the moment. A limit that can't be checked doesn't stop anyone;
-        // the renewals put the request on the next owner's count.
+        // No box counts this quota at the moment. A limit that can't be checked doesn't block
+        // requests; the renewals add this one to the next owner's count.
         context_.counters.add("quota_unchecked");
     }
-    const std::uint64_t counter =
+    const std::uint64_t countingBox =
             result == PermitResult::Granted ? answered->box : context_.settings.box.hash();
-    held_[ask.request] = {{ask.request, organisation, 0}, {counter}, std::nullopt, context_.now()};
+    held_[ask.request] = {
+            {ask.request, organisation, 0}, {countingBox}, std::nullopt, context_.now()};
     co_return Permit{.request = ask.request, .resource = organisation};
 }
 
@@ -235,18 +236,18 @@
 
 void PermitService::giveBack(const Permit &permit, peer::Observed observed)
 {
-    const auto place = held_.find(permit.request);
-    if (place == held_.end()) {
+    const auto entry = held_.find(permit.request);
+    if (entry == held_.end()) {
         return;
     }
     const peer::GiveBack message{permit.request, permit.resource, observed};
-    for (const std::uint64_t owner : place->second.owners) {
+    for (const std::uint64_t owner : entry->second.owners) {
         sendToOwner(owner, message);
     }
-    if (place->second.delegate) {
-        context_.kernel.find<PeerService>("peer").send(*place->second.delegate, message);
+    if (entry->second.delegate) {
+        context_.kernel.find<PeerService>("peer").send(*entry->second.delegate, message);
     }
-    held_.erase(place);
+    held_.erase(entry);
 }
 
 asio::awaitable<std::optional<PermitAnswer>> PermitService::askBox(std::uint64_t box, AskPermit ask)
@@ -289,7 +290,7 @@
     }
     pending_.erase(ask.request);
     if (!pending->answer) {
-        // It may have granted all the same, and its answer been lost.
+        // The box may have granted the permit, and only its answer was lost.
         peer.send(where, peer::GiveBack{ask.request, ask.resource, peer::Observed::Unused});
     }
     co_return pending->answer;
@@ -299,7 +300,7 @@
 {
     const auto owners = context_.kernel.find<MembershipService>("membership").owners();
     std::optional<Answered> last;
-    for (const std::uint64_t box : membership::ownersInLine(ask.resource, owners, LineLength)) {
+    for (const std::uint64_t box : membership::ownersInLine(ask.resource, owners, MaxBoxesAsked)) {
         if (const auto answer = co_await askBox(box, ask)) {
             last = Answered{*answer, box};
         }
@@ -326,7 +327,7 @@
     const auto answered = co_await askOwner(ask);
     if (!answered || answered->answer.result != PermitResult::Granted) {
         if (answered) {
-            noteRefusal(answered->answer, refusal);
+            updateRefusal(answered->answer, refusal);
         }
         co_return std::nullopt;
     }
@@ -379,7 +380,8 @@
         }
         const auto owner =
                 held.delegate ? std::nullopt : membership::ownerOf(held.permit.resource, owners);
-        // A new owner is told at once: it must count what the one before granted.
+        // A new owner gets the renewal at once, as it has to count the permits that the previous
+        // owner granted.
         if (owner && (due || !held.owners.contains(*owner))) {
             held.renewed = context_.now();
             held.owners.insert(*owner);
--- a/src/services/PermitService.h
+++ b/src/services/PermitService.h
@@ -1,9 +1,10 @@
 /** \file
- * The router's side of permits: finds an engine for a chat by asking owners, keeps the permits
- * alive while they are in use, and gives them back.
+ * The router's side of permits: finds an engine for a chat by asking owners, renews the permits
+ * while they are in use, and gives them back.
  *
- * An ask that isn't answered is repeated once under the same id, then goes to the next box in line
- * for the resource, which takes over. Nothing waits longer than a few ask timeouts.
+ * A request for a permit that isn't answered is repeated once under the same id, then goes to the
+ * next box in the resource's order of owners, which takes over. No caller waits longer than a few
+ * ask timeouts.
  */
 #pragma once
 
@@ -31,8 +32,9 @@
     std::uint64_t organisation = 0; ///< Hash of its path.
     kernel::ChatKey chat = 0;
     membership::ShortHash model = 0;
-    std::size_t candidates = 1;             ///< As the pool's settings say.
-    std::set<std::uint64_t> excluded;       ///< Engines that failed this request already, or rest.
+    std::size_t candidates = 1; ///< As the pool's settings say.
+    std::set<std::uint64_t>
+            excluded; ///< Engines that failed this request already, or asked for back-off.
     std::optional<std::uint64_t> preferred; ///< Engine that the caller's chat token names.
     std::uint32_t preferredIncarnation = 0;
 };
@@ -46,7 +48,7 @@
     std::uint32_t incarnation = 0; ///< Of the engine, as known at the grant.
     routing::Reason reason = routing::Reason::First;
 
-    /** Names the life of the engine. */
+    /** Hash of the engine and its incarnation. */
     std::uint64_t incarnationKey() const { return kernel::combine(resource, incarnation); }
 };
 
@@ -57,7 +59,7 @@
     kernel::Duration comeBackIn{};
 };
 
-/** Permits. */
+/** Acquires, renews and gives back the permits of this box's requests. */
 class PermitService : public kernel::Service
 {
 public:
@@ -67,34 +69,36 @@
     void start() override;
     void stop() override;
 
-    /** A place on an engine of this hall. */
+    /** Acquires a place on an engine of this hall. */
     boost::asio::awaitable<tl::expected<Permit, PermitRefusal>>
     acquireEngine(EngineRequirements need);
 
-    /** A place within an organisation's limits. */
+    /** Acquires a place within an organisation's limits. */
     boost::asio::awaitable<tl::expected<Permit, PermitRefusal>>
     acquireQuota(std::uint64_t organisation);
 
-    /** Gives a permit back, with what was seen of the engine. */
+    /** Gives a permit back and reports what was observed of the engine. */
     void giveBack(const Permit &permit, peer::Observed observed);
 
     std::size_t held() const { return held_.size(); }
 
-    /** An ask that fits \a need, under a new request id. */
+    /** The permit request for \a need, under a new request id. */
     peer::AskPermit askFor(const EngineRequirements &need) const;
 
-    /** Asks the box at \a where, twice if it must; nothing if it doesn't answer. */
+    /** Asks the box at \a where, and once more if \a timeout passes without an answer; nothing if
+     * it doesn't answer. */
     boost::asio::awaitable<std::optional<peer::PermitAnswer>>
     askAt(kernel::Endpoint where, peer::AskPermit ask, kernel::Duration timeout);
 
-    /** Keeps \a permit, which the box at \a delegate holds for this one under \a ask. */
+    /** Registers \a permit, which the box at \a delegate holds for this one under \a ask, so that
+     * it is renewed. */
     void holdInOtherHall(const peer::AskPermit &ask, const Permit &permit,
                          const kernel::Endpoint &delegate);
 
 private:
     struct Pending;
 
-    /** An answer, and the box that gave it. */
+    /** An answer, and the box that sent it. */
     struct Answered
     {
         peer::PermitAnswer answer;
@@ -104,7 +108,7 @@
     struct Held
     {
         peer::HeldPermit permit;
-        std::set<std::uint64_t> owners; ///< Boxes that may count it.
+        std::set<std::uint64_t> owners; ///< Boxes that may have it in their ledgers.
         std::optional<kernel::Endpoint>
                 delegate;        ///< The box of another hall that holds it for this one.
         kernel::Instant renewed; ///< When it was granted or last renewed.
@@ -118,8 +122,8 @@
                                                             peer::AskPermit ask,
                                                             peer::Suggestion suggestion,
                                                             PermitRefusal &refusal);
-    bool excludeResting(EngineRequirements &need,
-                        const std::vector<routing::Candidate> &engines) const;
+    bool excludeBackingOff(EngineRequirements &need,
+                           const std::vector<routing::Candidate> &engines) const;
     Permit take(const peer::AskPermit &ask, std::uint64_t owner, const BackendView &backend,
                 routing::Reason reason);
     boost::asio::awaitable<kernel::Duration> renewRound();
--- a/src/services/SpillService.cpp
+++ b/src/services/SpillService.cpp
@@ -21,21 +21,21 @@
 
 namespace {
 
-constexpr std::size_t HallsTried = 2;       ///< Halls that are asked before a request is refused.
-constexpr std::size_t BoxesTriedAbroad = 2; ///< Boxes of one other hall that are asked.
-constexpr kernel::Duration ComeBackWithoutWord = 1s;
-constexpr int RoundsPerLease = 6; ///< Looks for what lapsed.
+constexpr std::size_t HallsTried = 2;        ///< Halls that are asked before a request is refused.
+constexpr std::size_t BoxesTriedPerHall = 2; ///< Boxes of one other hall that are asked.
+constexpr kernel::Duration DefaultRetryDelay = 1s;
+constexpr int ChecksPerLease = 6; ///< Checks for expired permits.
 
-kernel::Duration lapseEvery(const Context &context)
+kernel::Duration expiryPeriod(const Context &context)
 {
-    return context.settings.permitLease / RoundsPerLease;
+    return context.settings.permitLease / ChecksPerLease;
 }
 
 } // namespace
 
 SpillService::SpillService(Context &context)
     : context_(context)
-    , awake_(lapseEvery(context))
+    , awake_(expiryPeriod(context))
 {
 }
 
@@ -48,17 +48,17 @@
                     asio::co_spawn(context_.io, serve(*ask, from), asio::detached);
                 }
             });
-    lapseLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return lapseRound(); });
+    expiryLoop_ = std::make_unique<PeriodicTask>(context_.io, [this] { return expiryRound(); });
 }
 
 void SpillService::stop()
 {
-    lapseLoop_.reset();
+    expiryLoop_.reset();
 }
 
 asio::awaitable<tl::expected<Permit, PermitRefusal>> SpillService::acquire(EngineRequirements need)
 {
-    PermitRefusal refusal{ResultCode::NoEngine, ComeBackWithoutWord};
+    PermitRefusal refusal{ResultCode::NoEngine, DefaultRetryDelay};
     AskPermit ask = context_.kernel.find<PermitService>("permits").askFor(need);
     ask.kind = AskKind::Spill;
     for (const std::string &hall : hallsInOrder(need.chat)) {
@@ -70,7 +70,8 @@
     co_return tl::unexpected(refusal);
 }
 
-// The own region's halls before the others; among these every router has the same order for a chat.
+// The other halls, those of the own region first. Within either group, every router has the same
+// order for a chat.
 std::vector<std::string> SpillService::hallsInOrder(kernel::ChatKey chat) const
 {
     std::vector<std::string> halls;
@@ -103,10 +104,10 @@
         }
     }
     std::ranges::shuffle(boxes, context_.random);
-    boxes.resize(std::min(boxes.size(), BoxesTriedAbroad));
+    boxes.resize(std::min(boxes.size(), BoxesTriedPerHall));
     auto &permits = context_.kernel.find<PermitService>("permits");
     for (const kernel::Endpoint &box : boxes) {
-        // The box asked has asks of its own to make first.
+        // That box has to ask the owners in its hall before it can answer.
         const auto answer = co_await permits.askAt(box, ask, context_.settings.askTimeout * 4);
         if (!answer) {
             continue;
@@ -123,7 +124,7 @@
             return shortHash(backend.backend.hash()) == answer->suggestions.front().engine;
         });
         if (engine == backends.end()) {
-            // This box's list of that hall is older than the engine.
+            // The engine isn't in this box's list of that hall yet.
             const peer::GiveBack unused{ask.request, 0, peer::Observed::Unused};
             context_.kernel.find<PeerService>("peer").send(box, unused);
             break;
@@ -144,10 +145,11 @@
     const auto &config = context_.kernel.find<ConfigService>("config");
     const auto *const pool =
             config.ready() ? config.effective().poolOfModelHash(ask.model) : nullptr;
-    const bool served = delegated_.contains(ask.request);
-    if (served || pool == nullptr || !delegating_.insert(ask.request).second) {
-        // Asked again: the answer was lost, or is still being worked on.
-        if (served) {
+    const bool alreadyGranted = delegated_.contains(ask.request);
+    if (alreadyGranted || pool == nullptr || !serving_.insert(ask.request).second) {
+        // Either a repeated request, whose first answer was lost or isn't ready yet, or a model
+        // that is in no pool here.
+        if (alreadyGranted) {
             sendAnswer(ask, from);
         }
         co_return;
@@ -159,7 +161,7 @@
                             .excluded = {ask.excluded.begin(), ask.excluded.end()}};
     const auto permit =
             co_await context_.kernel.find<PermitService>("permits").acquireEngine(std::move(need));
-    delegating_.erase(ask.request);
+    serving_.erase(ask.request);
     if (permit) {
         delegated_[ask.request] = {*permit, awake() + context_.settings.permitLease};
         sendAnswer(ask, from);
@@ -186,47 +188,48 @@
 
 bool SpillService::take(const peer::GiveBack &message)
 {
-    const auto place = delegated_.find(message.request);
-    if (place == delegated_.end()) {
+    const auto entry = delegated_.find(message.request);
+    if (entry == delegated_.end()) {
         return false;
     }
-    context_.kernel.find<PermitService>("permits").giveBack(place->second.permit, message.observed);
-    delegated_.erase(place);
+    context_.kernel.find<PermitService>("permits").giveBack(entry->second.permit, message.observed);
+    delegated_.erase(entry);
     return true;
 }
 
 void SpillService::take(const peer::Renew &renew)
 {
     for (const peer::HeldPermit &permit : renew.permits) {
-        if (const auto place = delegated_.find(permit.request); place != delegated_.end()) {
-            place->second.until = awake() + context_.settings.permitLease;
+        if (const auto entry = delegated_.find(permit.request); entry != delegated_.end()) {
+            entry->second.until = awake() + context_.settings.permitLease;
         }
     }
 }
 
-// The renewals of other halls lie unread while this box stands still.
+// The time by which leases run; it excludes stalls of this process, as the renewals of other
+// halls stay unread meanwhile.
 kernel::Instant SpillService::awake()
 {
     return awake_.at(context_.now());
 }
 
-asio::awaitable<kernel::Duration> SpillService::lapseRound()
+asio::awaitable<kernel::Duration> SpillService::expiryRound()
 {
-    dropLapsed();
-    co_return lapseEvery(context_);
+    dropExpired();
+    co_return expiryPeriod(context_);
 }
 
-void SpillService::dropLapsed()
+void SpillService::dropExpired()
 {
     const kernel::Instant now = awake();
-    for (auto place = delegated_.begin(); place != delegated_.end();) {
-        if (place->second.until > now) {
-            ++place;
+    for (auto entry = delegated_.begin(); entry != delegated_.end();) {
+        if (entry->second.until > now) {
+            ++entry;
             continue;
         }
-        context_.kernel.find<PermitService>("permits").giveBack(place->second.permit,
+        context_.kernel.find<PermitService>("permits").giveBack(entry->second.permit,
                                                                 peer::Observed::Unused);
-        place = delegated_.erase(place);
+        entry = delegated_.erase(entry);
     }
 }
 
--- a/src/services/SpillService.h
+++ b/src/services/SpillService.h
@@ -1,9 +1,9 @@
 /** \file
- * Places in other halls, for requests whose own hall has none.
+ * Acquires places in other halls for requests whose own hall has none.
  *
  * A box of the other hall finds the place, since it knows its hall's owners and loads, and holds
- * the permit for the box that asked. That one renews it and gives it back there. Should it die, the
- * place is free again when its lease has passed.
+ * the permit for the box that asked. The asking box renews the permit and gives it back at that
+ * box. If the asking box dies, the place is free again when the permit's lease has expired.
  */
 #pragma once
 
@@ -32,13 +32,14 @@
     void start() override;
     void stop() override;
 
-    /** A place on an engine of another hall: those of the own region first. */
+    /** Acquires a place on an engine of another hall; halls of the own region are asked first. */
     boost::asio::awaitable<tl::expected<Permit, PermitRefusal>> acquire(EngineRequirements need);
 
-    /** Takes back a permit that is held for another hall. \return false if it is none of these. */
+    /** Takes back a permit that this box holds for another hall. \return false if it holds none for
+     * this message. */
     bool take(const peer::GiveBack &message);
 
-    /** Keeps permits alive that are held for another hall. */
+    /** Renews permits that this box holds for another hall. */
     void take(const peer::Renew &renew);
 
 private:
@@ -55,14 +56,14 @@
     boost::asio::awaitable<void> serve(peer::AskPermit ask, kernel::Endpoint from);
     void sendAnswer(const peer::AskPermit &ask, const kernel::Endpoint &from);
     kernel::Instant awake();
-    boost::asio::awaitable<kernel::Duration> lapseRound();
-    void dropLapsed();
+    boost::asio::awaitable<kernel::Duration> expiryRound();
+    void dropExpired();
 
     Context &context_;
-    kernel::AwakeTime awake_; ///< What is held for other halls lapses by it.
-    std::unordered_map<std::uint64_t, Delegated> delegated_; ///< By the asker's request.
-    std::set<std::uint64_t> delegating_;                     ///< Asks that are being served.
-    std::unique_ptr<PeriodicTask> lapseLoop_;
+    kernel::AwakeTime awake_; ///< Clock of the leases of permits held for other halls.
+    std::unordered_map<std::uint64_t, Delegated> delegated_; ///< By the asking box's request id.
+    std::set<std::uint64_t> serving_; ///< Requests for permits that are being served.
+    std::unique_ptr<PeriodicTask> expiryLoop_;
 };
 
 } // namespace limereel::services
