--- a/src/services/Answers.h
+++ b/src/services/Answers.h
@@ -1,6 +1,6 @@
 /** \file
- * Answers of the box itself: every one carries the request's id, the numbered result and whether it
- * ran.
+ * Answers that the box itself creates. Each carries the request's id, the numbered result and
+ * whether the request ran.
  */
 #pragma once
 
@@ -12,24 +12,24 @@
 
 namespace limereel::services {
 
-/** What is told of a request that got no answer. */
+/** What a caller is told about a request that got no answer from a backend server. */
 struct Refusal
 {
     outcome::Verdict verdict;
     std::string message;
-    kernel::Duration comeBackIn{}; ///< Zero: no advice.
+    kernel::Duration comeBackIn{}; ///< When to try again; zero: not said.
 };
 
-/** A refusal with the truth that its code's row in the table tells. */
+/** A refusal whose verdict takes its 'ran' value from the table of result codes. */
 Refusal refusalOf(outcome::ResultCode code, std::string message, kernel::Duration comeBackIn = {});
 
 /** The fields that every answer carries. */
 http::Fields resultFields(const std::string &requestId, const outcome::Verdict &verdict);
 
-/** The whole answer to a request that is given up on. */
+/** The whole answer to a request that is refused or has failed. */
 http::Answer refusalAnswer(const std::string &requestId, const Refusal &refusal);
 
-/** The JSON object that refusalAnswer() and a cut stream carry. */
+/** The JSON object in the body of refusalAnswer() and at the end of a stream that breaks off. */
 std::string refusalJson(const std::string &requestId, const Refusal &refusal);
 
 } // namespace limereel::services
--- a/src/services/BackoffService.cpp
+++ b/src/services/BackoffService.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr kernel::Duration SweepEvery = 10s;
+constexpr kernel::Duration SweepPeriod = 10s;
 constexpr int Unavailable = 503;
 
 const kernel::Log &log()
@@ -30,7 +30,7 @@
 {
     const auto sweep = [this]() -> boost::asio::awaitable<kernel::Duration> {
         book_.expire(context_.now());
-        co_return SweepEvery;
+        co_return SweepPeriod;
     };
     sweep_ = std::make_unique<PeriodicTask>(context_.io, sweep);
 }
@@ -41,19 +41,19 @@
 }
 
 void BackoffService::note(std::uint64_t incarnationKey, const std::string &server,
-                          const http::RetryAfter &word)
+                          const http::RetryAfter &asked)
 {
-    if (word.unreadable) {
+    if (asked.unreadable) {
         context_.counters.add("rests_unreadable");
         log().event("rest-unreadable", {{"server", server}},
                     "A backend server asks for rest in a way that can't be read.");
     }
-    if (word.wait && *word.wait > kernel::Duration(0)) {
+    if (asked.wait && *asked.wait > kernel::Duration(0)) {
         context_.counters.add("rests_asked");
-        book_.note(incarnationKey, *word.wait, context_.now());
+        book_.note(incarnationKey, *asked.wait, context_.now());
         log().event("server-rests",
                     {{"server", server},
-                     {"asked_ms", *word.wait / 1ms},
+                     {"asked_ms", *asked.wait / 1ms},
                      {"rest_left_ms", remaining(incarnationKey) / 1ms}},
                     "A backend server asks this box for rest.");
     }
--- a/src/services/BackoffService.h
+++ b/src/services/BackoffService.h
@@ -1,6 +1,6 @@
 /** \file
- * Which backend servers have asked this box for rest over the own interface. Every way of a request
- * through it asks here before it sends; the decision itself is RestBook's.
+ * Which backend servers have asked this box to back off (Retry-After in an answer that turns a
+ * request away). The handlers of the project's own interfaces check it before they send a request.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace limereel::services {
 
-/** The rests of one box. */
+/** The back-offs that backend servers have asked of this box. */
 class BackoffService : public kernel::Service
 {
 public:
@@ -24,12 +24,13 @@
     void start() override;
     void stop() override;
 
-    /** A backend server has turned a request away. \param word what it says of when to come back.
-     */
+    /** Notes that a backend server has turned a request away.
+     * \param incarnationKey hash of the server and its incarnation.
+     * \param asked the server's Retry-After field. */
     void note(std::uint64_t incarnationKey, const std::string &server,
-              const http::RetryAfter &word);
+              const http::RetryAfter &asked);
 
-    /** For how long \a life still wants nothing from this box; zero: it doesn't rest. */
+    /** For how long this box still may not send to \a incarnationKey; zero: no back-off. */
     kernel::Duration remaining(std::uint64_t incarnationKey) const;
     bool inBackoff(std::uint64_t incarnationKey) const
     {
@@ -42,7 +43,7 @@
     std::unique_ptr<PeriodicTask> sweep_;
 };
 
-/** What an answer with \a status says of rest; only one that turns a request away does. */
+/** The back-off that an answer asks for; only one with \a status 503 can ask for any. */
 http::RetryAfter requestedBackoff(int status, const http::Fields &fields);
 
 } // namespace limereel::services
--- a/src/services/ClaimService.cpp
+++ b/src/services/ClaimService.cpp
@@ -21,9 +21,9 @@
 
 constexpr int ClaimTries = 4;
 
-// The object's name tells neither the key nor whose it is.
-std::string objectOf(const std::string &organisation, const std::string &service,
-                     const std::string &key)
+// The name of the claim's object. It is hashed, so that it reveals neither the key nor its owner.
+std::string objectName(const std::string &organisation, const std::string &service,
+                       const std::string &key)
 {
     return "claims/" + kernel::keyHash(organisation + '\n' + service + '\n' + key);
 }
@@ -45,7 +45,7 @@
                                                                          std::string attempt)
 {
     auto &platform = context_.kernel.find<PlatformService>("platform");
-    HeldClaim held{objectOf(organisation, service, key), 0};
+    HeldClaim held{objectName(organisation, service, key), 0};
     const std::string value =
             nlohmann::json{{"attempt", attempt}, {"at", std::time(nullptr)}}.dump();
     Claim claim(attempt, ClaimTries);
--- a/src/services/ClaimService.h
+++ b/src/services/ClaimService.h
@@ -12,14 +12,14 @@
 
 namespace limereel::services {
 
-/** A claim that this attempt holds. */
+/** A claim that an attempt holds. */
 struct HeldClaim
 {
-    std::string object;
-    std::uint64_t version = 0; ///< 0 if the version isn't known.
+    std::string object;        ///< Name of the claim's object on the platform.
+    std::uint64_t version = 0; ///< Of the object; 0 if it isn't known.
 };
 
-/** Claims. */
+/** Takes and releases claims. */
 class ClaimService : public kernel::Service
 {
 public:
@@ -32,11 +32,13 @@
     void start() override {}
     void stop() override {}
 
-    /** Claims \a key of \a organisation at \a service for the attempt \a attempt. */
+    /** Claims \a key of \a organisation at \a service for the attempt \a attempt; the error says
+     * why the claim is refused. */
     boost::asio::awaitable<tl::expected<HeldClaim, outcome::ResultCode>>
     claim(std::string organisation, std::string service, std::string key, std::string attempt);
 
-    /** Gives up the claim of a request that surely did not run, so that its key may be used again.
+    /** Gives up the claim of a request that certainly did not run, so that its key may be used
+     * again.
      */
     boost::asio::awaitable<void> release(HeldClaim claim);
 
--- a/src/services/MembershipService.cpp
+++ b/src/services/MembershipService.cpp
@@ -26,33 +26,33 @@
     return policy;
 }
 
-std::uint32_t ownNumber(const Context &context)
+std::uint32_t ownIpv4(const Context &context)
 {
     boost::system::error_code error;
     const auto address = asio::ip::make_address_v4(context.settings.peer.address, error);
     return error ? 0 : address.to_uint();
 }
 
-BoxState firstState(const Context &context, const PeerDiscovery &discovery)
+BoxState initialState(const Context &context, const PeerDiscovery &discovery)
 {
     BoxState state;
     state.box = context.settings.box.hash();
     state.incarnation = context.incarnation;
-    state.address = discovery.seeds.empty() ? 0 : ownNumber(context);
+    state.address = discovery.seeds.empty() ? 0 : ownIpv4(context);
     return state;
 }
 
-// A box is suspected after some seconds of silence; so much later is no matter.
-constexpr kernel::Duration OwnersKept = 50ms;
-// Rounds between two greetings of seeds that aren't known, once some box is.
-constexpr std::uint64_t GreetEvery = 10;
+// A box is suspected only after some seconds of silence, so that this much more delay does no harm.
+constexpr kernel::Duration OwnersCacheTime = 50ms;
+// Rounds between two contacts with the seeds once another box is known.
+constexpr std::uint64_t RoundsPerSeedContact = 10;
 
 } // namespace
 
 MembershipService::MembershipService(Context &context, PeerDiscovery discovery)
     : context_(context)
     , discovery_(std::move(discovery))
-    , table_(policyOf(context.settings), firstState(context, discovery_))
+    , table_(policyOf(context.settings), initialState(context, discovery_))
 {
     names_[context.settings.box.hash()] = context.settings.box.text();
 }
@@ -76,7 +76,7 @@
 const std::vector<std::uint64_t> &MembershipService::owners() const
 {
     const kernel::Instant now = context_.now();
-    if (!ownersAt_ || now - *ownersAt_ >= OwnersKept) {
+    if (!ownersAt_ || now - *ownersAt_ >= OwnersCacheTime) {
         owners_ = table_.owners(now);
         ownersAt_ = now;
     }
@@ -85,15 +85,15 @@
 
 std::optional<kernel::Endpoint> MembershipService::addressOf(std::uint64_t box) const
 {
-    const auto place = addresses_.find(box);
-    return place == addresses_.end() ? std::nullopt : std::optional(place->second);
+    const auto entry = addresses_.find(box);
+    return entry == addresses_.end() ? std::nullopt : std::optional(entry->second);
 }
 
 std::string MembershipService::nameOf(std::uint64_t box) const
 {
-    const auto place = names_.find(box);
-    if (place != names_.end()) {
-        return place->second;
+    const auto entry = names_.find(box);
+    if (entry != names_.end()) {
+        return entry->second;
     }
     std::ostringstream text;
     text << std::hex << box;
@@ -104,7 +104,7 @@
 {
     context_.counters.add("owners_unreachable");
     table_.noteUnreachable(box, context_.now());
-    forgetOwners();
+    invalidateOwners();
 }
 
 void MembershipService::leave()
@@ -122,14 +122,14 @@
 
 asio::awaitable<kernel::Duration> MembershipService::round()
 {
-    takeListed();
-    BoxState state = firstState(context_, discovery_);
+    addListedBoxes();
+    BoxState state = initialState(context_, discovery_);
     state.leaving = leaving_;
-    for (const auto &complete : complete_) {
-        complete(state);
+    for (const auto &callback : stateCallbacks_) {
+        callback(state);
     }
     table_.setSelf(std::move(state));
-    forgetOwners();
+    invalidateOwners();
     auto &peer = context_.kernel.find<PeerService>("peer");
     for (auto &message : table_.tick(context_.now(), context_.random)) {
         if (const auto address = addressOf(message.to)) {
@@ -137,14 +137,14 @@
                       peer::Heartbeat{std::move(message.states), std::move(message.ages)});
         }
     }
-    greetSeeds();
-    for (const auto &beat : beat_) {
-        beat();
+    contactSeeds();
+    for (const auto &callback : heartbeatCallbacks_) {
+        callback();
     }
     co_return context_.settings.heartbeatPeriod;
 }
 
-void MembershipService::takeListed()
+void MembershipService::addListedBoxes()
 {
     std::vector<std::uint64_t> listed;
     const auto add = [&](const kernel::KnownBox &known) {
@@ -161,12 +161,14 @@
     table_.setListed(listed, context_.now());
 }
 
-// Until some box is known, and now and then afterwards, since two parts of a fleet may have started
-// apart or been cut apart for so long that they gave each other up; the seeds may be gone by then.
-void MembershipService::greetSeeds()
+// Sends heartbeats to the seeds in each round until another box is known, and every
+// RoundsPerSeedContact rounds afterwards: two parts of a fleet may have started without contact, or
+// been partitioned for so long that they consider each other dead. One dead box is contacted too,
+// as the seeds may no longer exist by then.
+void MembershipService::contactSeeds()
 {
     const bool alone = owners().size() <= 1;
-    if (!alone && rounds_++ % GreetEvery != 0) {
+    if (!alone && roundCount_++ % RoundsPerSeedContact != 0) {
         return;
     }
     auto &peer = context_.kernel.find<PeerService>("peer");
@@ -175,19 +177,19 @@
             peer.send(seed, peer::Heartbeat{{table_.self()}, {}});
         }
     }
-    greetOneGivenUp();
+    contactOneDeadBox();
 }
 
-void MembershipService::greetOneGivenUp()
+void MembershipService::contactOneDeadBox()
 {
-    std::vector<kernel::Endpoint> givenUp;
+    std::vector<kernel::Endpoint> deadBoxes;
     for (const auto &[box, address] : addresses_) {
         if (box != self() && liveness(box) == membership::Liveness::Dead) {
-            givenUp.push_back(address);
+            deadBoxes.push_back(address);
         }
     }
-    if (!givenUp.empty()) {
-        const kernel::Endpoint &one = givenUp[context_.random() % givenUp.size()];
+    if (!deadBoxes.empty()) {
+        const kernel::Endpoint &one = deadBoxes[context_.random() % deadBoxes.size()];
         context_.kernel.find<PeerService>("peer").send(one, peer::Heartbeat{{table_.self()}, {}});
     }
 }
@@ -205,29 +207,33 @@
     if (heartbeat.states.empty()) {
         return;
     }
-    // The sender's own state comes first; where it came from is where it listens. Only a box that
-    // the platform or the settings don't name (the list lags) is learned this way.
+    // The sender's own state comes first, and the sender receives at the address that it sends
+    // from. This adds only boxes that neither the settings nor the platform's list, which may lag,
+    // contain.
     addresses_.try_emplace(heartbeat.states.front().box, from);
     for (const BoxState &state : heartbeat.states) {
         learnAddress(state);
-        // An earlier process of this box is still spoken of: the clock has been set back since.
+        // Other boxes still have the state of an earlier process of this box with a higher
+        // incarnation, as the clock has been set back since.
         if (state.box == self() && state.incarnation > context_.incarnation) {
             context_.incarnation = state.incarnation + 1;
         }
     }
-    const std::size_t news = table_.receive(heartbeat.states, heartbeat.ages, context_.now());
-    forgetOwners();
-    context_.counters.add("heartbeat_states", {{"news", "yes"}}, news);
-    context_.counters.add("heartbeat_states", {{"news", "no"}}, heartbeat.states.size() - news);
-    if (news > 0) {
-        for (const auto &called : news_) {
-            called();
+    const std::size_t newStates = table_.receive(heartbeat.states, heartbeat.ages, context_.now());
+    invalidateOwners();
+    context_.counters.add("heartbeat_states", {{"news", "yes"}}, newStates);
+    context_.counters.add("heartbeat_states", {{"news", "no"}},
+                          heartbeat.states.size() - newStates);
+    if (newStates > 0) {
+        for (const auto &callback : newStateCallbacks_) {
+            callback();
         }
     }
-    introduce(heartbeat, from);
+    sendMissingStates(heartbeat, from);
 }
 
-void MembershipService::introduce(const peer::Heartbeat &heartbeat, const kernel::Endpoint &from)
+void MembershipService::sendMissingStates(const peer::Heartbeat &heartbeat,
+                                          const kernel::Endpoint &from)
 {
     const auto missing = table_.introductionFor(heartbeat.states, heartbeat.ages, context_.now(),
                                                 context_.random);
--- a/src/services/MembershipService.h
+++ b/src/services/MembershipService.h
@@ -1,5 +1,6 @@
 /** \file
- * Runs the heartbeats of a box and knows the other boxes of the hall and their addresses.
+ * Sends and receives the heartbeats of a box, and keeps track of the other boxes of the hall and
+ * their addresses.
  */
 #pragma once
 
@@ -16,16 +17,16 @@
 
 namespace limereel::services {
 
-/** How a box comes to know the others. */
+/** How a box finds the other boxes. */
 struct PeerDiscovery
 {
-    /** The boxes that a list names. */
+    /** The boxes in the list from the platform; no boxes by default. */
     std::function<std::vector<kernel::KnownBox>()> listed = [] {
         return std::vector<kernel::KnownBox>();
     };
 
-    /** Addresses at which boxes may be that know others. Where there are any, boxes tell their
-     * addresses in their heartbeats. */
+    /** Addresses of boxes that may know further boxes. If there are any, each box sends its own
+     * address in its heartbeats. */
     std::vector<kernel::Endpoint> seeds;
 };
 
@@ -39,22 +40,29 @@
     void start() override;
     void stop() override;
 
-    /** Adds something that completes the box's own state before each heartbeat. */
-    void beforeHeartbeat(std::function<void(membership::BoxState &)> complete)
+    /** Adds a callback that completes the box's own state before each heartbeat. */
+    void beforeHeartbeat(std::function<void(membership::BoxState &)> callback)
     {
-        complete_.push_back(std::move(complete));
+        stateCallbacks_.push_back(std::move(callback));
     }
 
-    /** Adds something that runs after each heartbeat. */
-    void afterHeartbeat(std::function<void()> beat) { beat_.push_back(std::move(beat)); }
+    /** Adds a callback that runs after each heartbeat. */
+    void afterHeartbeat(std::function<void()> callback)
+    {
+        heartbeatCallbacks_.push_back(std::move(callback));
+    }
 
-    /** Adds something that runs when a message brought news of other boxes. */
-    void onNewStates(std::function<void()> news) { news_.push_back(std::move(news)); }
+    /** Adds a callback that runs when a heartbeat has brought newer states of other boxes. */
+    void onNewStates(std::function<void()> callback)
+    {
+        newStateCallbacks_.push_back(std::move(callback));
+    }
 
     std::uint64_t self() const { return table_.self().box; }
 
-    /** The boxes that may own something now, sorted. Kept for some milliseconds, as a request asks
-     * several times; what a heartbeat brings is seen at once. Good until the next call. */
+    /** The boxes that may own something now, sorted. The result is cached for some milliseconds, as
+     * each request needs it several times, and is updated at each heartbeat. The reference is valid
+     * until the next call. */
     const std::vector<std::uint64_t> &owners() const;
 
     /** The states of all boxes that aren't dead. */
@@ -65,7 +73,8 @@
         return table_.liveness(box, context_.now());
     }
 
-    /** Where \a box listens for other boxes. */
+    /** The address at which \a box receives messages from other boxes; nothing if it isn't known.
+     */
     std::optional<kernel::Endpoint> addressOf(std::uint64_t box) const;
 
     /** The name of \a box for logs and status; its hash in hexadecimal digits if no name is known.
@@ -75,34 +84,35 @@
     /** Notes that \a box doesn't answer. */
     void noteUnreachable(std::uint64_t box);
 
-    /** Tells everyone that this box leaves. */
+    /** Announces to all boxes that this box leaves. */
     void leave();
     bool leaving() const { return leaving_; }
 
-    /** Sends the next heartbeat now, as there is news. */
+    /** Sends the next heartbeat at once, for a change that shouldn't wait. */
     void hurry();
 
 private:
     boost::asio::awaitable<kernel::Duration> round();
-    void takeListed();
-    void greetSeeds();
-    void greetOneGivenUp();
-    void introduce(const peer::Heartbeat &heartbeat, const kernel::Endpoint &from);
+    void addListedBoxes();
+    void contactSeeds();
+    void contactOneDeadBox();
+    void sendMissingStates(const peer::Heartbeat &heartbeat, const kernel::Endpoint &from);
     void learnAddress(const membership::BoxState &state);
     void receive(const peer::Heartbeat &heartbeat, const kernel::Endpoint &from);
-    void forgetOwners() { ownersAt_.reset(); }
+    void invalidateOwners() { ownersAt_.reset(); }
 
     Context &context_;
     PeerDiscovery discovery_;
-    std::uint64_t rounds_ = 0;
+    std::uint64_t roundCount_ = 0;
     membership::HeartbeatTable table_;
     mutable std::vector<std::uint64_t> owners_;
-    mutable std::optional<kernel::Instant> ownersAt_; ///< When they were worked out.
+    mutable std::optional<kernel::Instant>
+            ownersAt_; ///< When they were computed; nothing: they have to be computed anew.
     std::unordered_map<std::uint64_t, kernel::Endpoint> addresses_;
     std::unordered_map<std::uint64_t, std::string> names_;
-    std::vector<std::function<void(membership::BoxState &)>> complete_;
-    std::vector<std::function<void()>> beat_;
-    std::vector<std::function<void()>> news_;
+    std::vector<std::function<void(membership::BoxState &)>> stateCallbacks_;
+    std::vector<std::function<void()>> heartbeatCallbacks_;
+    std::vector<std::function<void()>> newStateCallbacks_;
     bool leaving_ = false;
     std::unique_ptr<PeriodicTask> loop_;
 };
--- a/src/services/PeriodicTask.h
+++ b/src/services/PeriodicTask.h
@@ -1,5 +1,5 @@
 /** \file
- * Runs something again and again on a service's event loop until the service stops.
+ * Runs a coroutine repeatedly on a service's event loop until the service stops.
  */
 #pragma once
 
@@ -13,20 +13,20 @@
 
 namespace limereel::services {
 
-/** A loop with a pause between two rounds. Stops when destroyed; a round that runs is finished
- * first. */
+/** A loop with a pause between two rounds. It stops when destroyed; a round that is running then
+ * still finishes. An exception of a round is logged, and the next round follows after 1 s. */
 class PeriodicTask
 {
 public:
     using Round = std::function<boost::asio::awaitable<kernel::Duration>()>;
 
-    /** \param round one round; it gives the pause before the next one. */
+    /** \param round runs one round and returns the pause before the next one. */
     PeriodicTask(boost::asio::io_context &io, Round round);
     ~PeriodicTask();
     PeriodicTask(const PeriodicTask &) = delete;
     PeriodicTask &operator=(const PeriodicTask &) = delete;
 
-    /** Cuts the running pause short. */
+    /** Starts the next round without the rest of the current pause. */
     void hurry();
 
 private:
--- a/src/services/PlacementService.cpp
+++ b/src/services/PlacementService.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr double Smoothing = 0.3; ///< Part of the newest value.
+constexpr double Smoothing = 0.3; ///< Weight of the newest value.
 
 const kernel::Log &log()
 {
@@ -91,8 +91,9 @@
     return membership::ownerOf(task, membership.owners()) == membership.self();
 }
 
-// Reads, and writes when it is time. An own lease counts from before the write, another's from
-// after the read, so a slow answer only makes one's own shorter and another's longer.
+// Reads the lease, and writes it when it is due. This box's own lease counts from before the write
+// and another box's from after the read. So a slow answer can only shorten the own lease and
+// lengthen the other's.
 asio::awaitable<bool> PlacementService::keepLease()
 {
     auto &platform = context_.kernel.find<PlatformService>("platform");
@@ -112,9 +113,9 @@
         const StoreResult written = co_await platform.put(leaseObject(context_), leaseVersion_,
                                                           placement::toJson(*record));
         if (written.answer == StoreAnswer::Done) {
-            const bool taken = !holds();
+            const bool acquired = !holds();
             lease_.onWritten();
-            if (taken) {
+            if (acquired) {
                 log().info("This box gives the hall's orders, with token "
                            + std::to_string(record->token) + ".");
             }
@@ -141,8 +142,8 @@
     if (!endpoint) {
         co_return;
     }
-    // The last look at the own clock before the order goes out: a box that was paused since it
-    // planned finds its lease lapsed here.
+    // The lease is checked once more right before the order is sent: if the process was paused
+    // since it planned the order, the lease has expired and this check fails.
     const auto token = lease_.tokenFor(engine->listed.checksTokens, context_.now());
     if (!token) {
         context_.counters.add("orders_held_back");
@@ -190,10 +191,10 @@
                                      .room = backend.listed.room,
                                      .models = {},
                                      .inFlight = backend.state.inFlight};
-        // A model of no pool still takes room.
+        // A model that is in no pool takes up space on the engine too.
         const auto nameOf = [&names](membership::ShortHash hash) {
-            const auto place = names.find(hash);
-            return place == names.end() ? "unknown-" + std::to_string(hash) : place->second;
+            const auto entry = names.find(hash);
+            return entry == names.end() ? "unknown-" + std::to_string(hash) : entry->second;
         };
         for (const auto model : backend.state.loading) {
             engine.models[nameOf(model)] = false;
@@ -210,7 +211,7 @@
 {
     std::map<membership::ShortHash, double> inFlight;
     for (const BackendView &backend : context_.kernel.find<OwnerService>("owner").view().backends) {
-        // An engine tells its load and not which models it is for; it is split evenly.
+        // An engine doesn't report its load by model, so the load is split evenly over its models.
         for (const auto model : backend.state.models) {
             inFlight[model] += static_cast<double>(backend.state.inFlight)
                                / static_cast<double>(backend.state.models.size());
--- a/src/services/PlacementService.h
+++ b/src/services/PlacementService.h
@@ -1,9 +1,9 @@
 /** \file
- * Decides which engines of the hall hold which models, and orders it.
+ * Decides which engines of the hall hold which models, and orders engines to load and unload them.
  *
- * One box of the hall does, found by rendezvous hashing and held to it by a lease on the platform;
- * each order carries the lease's token. Cut off from the platform the lease lapses and no orders
- * are given: the models stay where they are.
+ * One box of the hall does this, the one that rendezvous hashing chooses, while it holds a lease on
+ * the platform. Each order carries the lease's fencing token. If the box can't reach the platform,
+ * the lease expires and no orders are given: the models stay where they are.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace limereel::services {
 
-/** The hall's placement. */
+/** Plans and orders the placement of models in the hall. */
 class PlacementService : public kernel::Service
 {
 public:
@@ -43,9 +43,9 @@
 
     Context &context_;
     placement::FencedLease lease_;
-    std::uint64_t leaseVersion_ = 0; ///< Of the lease's object.
+    std::uint64_t leaseVersion_ = 0; ///< Of the lease's object on the platform.
     placement::Planner planner_;
-    std::map<std::string, double> smoothed_; ///< In flight by model.
+    std::map<std::string, double> smoothed_; ///< Smoothed number of requests in flight, by model.
     std::unique_ptr<PeriodicTask> loop_;
 };
 
