--- a/test/correctness/ChatBackoffTest.cpp
+++ b/test/correctness/ChatBackoffTest.cpp
@@ -1,5 +1,5 @@
-// The own interfaces, and backend servers that turn requests away and ask for rest.
-// Guards against requests that go to a server while it rests.
+// Tests the project's own interfaces with backend servers that turn requests away and ask for
+// back-off (503 with Retry-After). Guards against requests that are sent to a server during it.
 
 #include "support/Fleet.h"
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr int Many = 1000;
+constexpr int ManyRefusals = 1000;
 
-struct RestFleet
+struct BackoffFixture
 {
-    RestFleet()
+    BackoffFixture()
     {
         fleet.engines("hall-a", 2).serviceRunners("hall-a", 2, "calendar").routers("hall-a", 1);
         fleet.start();
@@ -38,22 +38,22 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ChatBackoffTest, RestFleet)
+BOOST_FIXTURE_TEST_SUITE(ChatBackoffTest, BackoffFixture)
 
-BOOST_AUTO_TEST_CASE(engine_asksForRest_isSentNothingMore)
+BOOST_AUTO_TEST_CASE(engine_asksForBackoff_getsNoMoreRequests)
 {
-    fleet.engine(0).faults.refuseFull = Many;
+    fleet.engine(0).faults.refuseFull = ManyRefusals;
     fleet.engine(0).faults.restAsked = "300";
     for (int number = 0; number < 40; ++number) {
         BOOST_TEST(chat(number).whole);
     }
-    BOOST_TEST(fleet.engine(0).faults.refuseFull == Many - 1);
+    BOOST_TEST(fleet.engine(0).faults.refuseFull == ManyRefusals - 1);
 }
 
-BOOST_AUTO_TEST_CASE(allEngines_askForRest_chatIsRefusedAtOnceAndToldWhenToComeBack)
+BOOST_AUTO_TEST_CASE(allEngines_askForBackoff_chatIsRefusedAtOnceWithRetryAfter)
 {
     for (std::size_t index = 0; index < 2; ++index) {
-        fleet.engine(index).faults.refuseFull = Many;
+        fleet.engine(index).faults.refuseFull = ManyRefusals;
         fleet.engine(index).faults.restAsked = "300";
     }
     chat(0);
@@ -62,11 +62,11 @@
     BOOST_TEST(answer.resultCode == "214");
     BOOST_TEST(answer.ran == "not-run");
     BOOST_TEST(!answer.retryAfter.empty());
-    BOOST_TEST(fleet.engine(0).faults.refuseFull == Many - 1);
-    BOOST_TEST(fleet.engine(1).faults.refuseFull == Many - 1);
+    BOOST_TEST(fleet.engine(0).faults.refuseFull == ManyRefusals - 1);
+    BOOST_TEST(fleet.engine(1).faults.refuseFull == ManyRefusals - 1);
 }
 
-BOOST_AUTO_TEST_CASE(engine_startsAnewWhileItRests_takesWork)
+BOOST_AUTO_TEST_CASE(engine_restartsDuringItsBackoff_getsRequests)
 {
     for (std::size_t index = 0; index < 2; ++index) {
         fleet.engine(index).faults.refuseFull = 1;
@@ -78,28 +78,28 @@
     BOOST_TEST(fleet.until([this] { return chat(2).whole; }));
 }
 
-BOOST_AUTO_TEST_CASE(runner_asksForRest_isSentNothingMore)
+BOOST_AUTO_TEST_CASE(runner_asksForBackoff_getsNoMoreRequests)
 {
-    fleet.service(0).faults.refuse = Many;
+    fleet.service(0).faults.refuse = ManyRefusals;
     fleet.service(0).faults.restAsked = "300";
     for (int number = 0; number < 40; ++number) {
         BOOST_TEST(call().status == 200);
     }
-    BOOST_TEST(fleet.service(0).faults.refuse == Many - 1);
+    BOOST_TEST(fleet.service(0).faults.refuse == ManyRefusals - 1);
 }
 
-BOOST_AUTO_TEST_CASE(allRunners_askForRest_callIsRefusedAndNotRun)
+BOOST_AUTO_TEST_CASE(allRunners_askForBackoff_callIsRefusedAndNotRun)
 {
     for (std::size_t index = 0; index < 2; ++index) {
-        fleet.service(index).faults.refuse = Many;
+        fleet.service(index).faults.refuse = ManyRefusals;
         fleet.service(index).faults.restAsked = "300";
     }
     call();
     const auto answer = call();
     BOOST_TEST(answer.resultCode == "214");
     BOOST_TEST(answer.ran == "not-run");
-    BOOST_TEST(fleet.service(0).faults.refuse == Many - 1);
-    BOOST_TEST(fleet.service(1).faults.refuse == Many - 1);
+    BOOST_TEST(fleet.service(0).faults.refuse == ManyRefusals - 1);
+    BOOST_TEST(fleet.service(1).faults.refuse == ManyRefusals - 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/correctness/ChatCrashTest.cpp
+++ b/test/correctness/ChatCrashTest.cpp
@@ -1,4 +1,6 @@
-// The own chat interface, and a chat request that ends each engine that begins to run it.
+// Tests the project's own chat interface with a chat request that crashes each engine that begins
+// to run it. Guards against such a request crashing one engine after another when callers repeat
+// it.
 
 #include "services/CrashService.h"
 #include "support/Fleet.h"
@@ -11,9 +13,9 @@
 
 namespace {
 
-constexpr const char *Crashing = "the chat that ends engines";
+constexpr const char *CrashingChat = "the chat that ends engines";
 
-/** Some routers and some engines that are back soon after they have ended. */
+/** A hall with routers and with engines that restart soon after a crash. */
 class ChatFixture
 {
 public:
@@ -22,26 +24,27 @@
         fleet.engines("hall-a", 5).routers("hall-a", 3);
         fleet.start();
         for (std::size_t index = 0; index < fleet.engineCount(); ++index) {
-            fleet.engine(index).faults.endedBy = Crashing;
+            fleet.engine(index).faults.endedBy = CrashingChat;
         }
     }
 
-    /** Callers come again at one router after another. \return engines that ended. */
-    int comeAgain(int times)
+    /** Sends the chat \a times times, to one router after another. \return the number of engine
+     * crashes. */
+    int repeatChat(int times)
     {
-        int ended = 0;
+        int crashes = 0;
         for (int turn = 0; turn < times; ++turn) {
             last = fleet.chat(static_cast<std::size_t>(turn) % fleet.routerCount(),
-                              Turn{.chat = "c" + std::to_string(turn), .says = Crashing});
+                              Turn{.chat = "c" + std::to_string(turn), .says = CrashingChat});
             for (std::size_t index = 0; index < fleet.engineCount(); ++index) {
                 if (fleet.engine(index).crashed()) {
-                    ++ended;
+                    ++crashes;
                     fleet.engine(index).comeBack();
                 }
             }
             BOOST_REQUIRE(fleet.until([this] { return fleet.settled(); }));
         }
-        return ended;
+        return crashes;
     }
 
     Fleet fleet;
@@ -52,9 +55,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(ChatCrashTest, ChatFixture)
 
-BOOST_AUTO_TEST_CASE(chatThatEndsItsEngines_comesAgainAtEachRouter_threeEnginesEndInAll)
+BOOST_AUTO_TEST_CASE(chatThatCrashesEngines_repeatedAtEachRouter_threeEnginesCrashInTotal)
 {
-    BOOST_TEST(comeAgain(9) == 3);
+    BOOST_TEST(repeatChat(9) == 3);
     BOOST_TEST(last.status == 503);
     BOOST_TEST(last.resultCode == "212");
     BOOST_TEST(last.ran == "not-run");
--- a/test/correctness/FailureTest.cpp
+++ b/test/correctness/FailureTest.cpp
@@ -1,4 +1,4 @@
-// Boxes and engines die, leave and come back while chats go on.
+// Tests that chats continue while boxes and engines fail, leave and return.
 
 #include "services/OwnerService.h"
 #include "services/PermitService.h"
@@ -30,9 +30,9 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
-    /** Whether no permit is held and every box has heard so. A caller has its answer before the
-     * owner has the permit. */
-    bool quiet()
+    /** Whether no permit is held and every box knows that. A caller gets its answer before the
+     * permit is back at its owner. */
+    bool noPermitHeld()
     {
         for (std::size_t router = 0; router < fleet.routerCount(); ++router) {
             auto &kernel = fleet.context(router).kernel;
@@ -48,10 +48,11 @@
         return true;
     }
 
-    /** A chat's turn on a quiet hall, where nothing but its own history decides. */
+    /** Runs a turn of a chat while no permit is held, so that only the chat's own history decides
+     * where it runs. \return the engine. */
     std::string engineOf(std::size_t router, const std::string &chat)
     {
-        BOOST_TEST(fleet.until([this] { return quiet(); }));
+        BOOST_TEST(fleet.until([this] { return noPermitHeld(); }));
         return fleet.chat(router, Turn{.chat = chat}).engine;
     }
 
@@ -83,7 +84,7 @@
     BOOST_TEST(whole == Count);
 }
 
-BOOST_AUTO_TEST_CASE(engine_dies_chatsGoElsewhereAndItGetsNoMoreWork)
+BOOST_AUTO_TEST_CASE(engine_refusesAll_chatsRunElsewhere)
 {
     fleet.engine(3).faults.refuseFull = 100000;
     int whole = 0;
@@ -96,30 +97,34 @@
     BOOST_TEST(fleet.engine(3).runs().empty());
 }
 
-BOOST_AUTO_TEST_CASE(engine_awayAndBack_chatIsStillFoundWhereItWentMeanwhile)
+BOOST_AUTO_TEST_CASE(engine_downAndBack_chatStaysOnTheEngineItMovedTo)
 {
-    // A chat per engine at least, so that some have the engine that goes away first.
+    // Enough chats that each engine, and so also the one that goes down, is the first choice of
+    // some.
     std::map<std::string, std::string> before;
     for (int chat = 0; chat < 24; ++chat) {
         const std::string name = "c" + std::to_string(chat);
         before[name] = engineOf(0, name);
     }
-    const std::size_t away = 0;
-    fleet.takeDown(away);
-    BOOST_TEST(
-            fleet.until([&] { return !openAt(0, away) && !openAt(1, away) && !openAt(2, away); }));
-    std::map<std::string, std::string> meanwhile;
+    const std::size_t downEngine = 0;
+    fleet.takeDown(downEngine);
+    BOOST_TEST(fleet.until([&] {
+        return !openAt(0, downEngine) && !openAt(1, downEngine) && !openAt(2, downEngine);
+    }));
+    std::map<std::string, std::string> movedTo;
     for (const auto &[name, engine] : before) {
-        meanwhile[name] = engineOf(1, name);
+        movedTo[name] = engineOf(1, name);
     }
-    fleet.bringBack(away);
-    BOOST_TEST(fleet.until([&] { return openAt(0, away) && openAt(1, away) && openAt(2, away); }));
-    for (const auto &[name, engine] : meanwhile) {
+    fleet.bringBack(downEngine);
+    BOOST_TEST(fleet.until([&] {
+        return openAt(0, downEngine) && openAt(1, downEngine) && openAt(2, downEngine);
+    }));
+    for (const auto &[name, engine] : movedTo) {
         BOOST_TEST(engineOf(2, name) == engine);
     }
 }
 
-BOOST_AUTO_TEST_CASE(engine_saysThatItLeaves_noRouterGivesItWorkAndWhatRunsIsFinished)
+BOOST_AUTO_TEST_CASE(engine_reportsLeaving_getsNoNewRequestsAndRunningOnesFinish)
 {
     CallerAnswer running;
     fleet.forEach(2, 2, [&](int number) -> asio::awaitable<void> {
@@ -148,7 +153,7 @@
     BOOST_TEST(running.whole);
 }
 
-BOOST_AUTO_TEST_CASE(engine_listedAsLeaving_noRouterGivesItWork)
+BOOST_AUTO_TEST_CASE(engine_listedAsLeaving_getsNoNewRequests)
 {
     fleet.listAsLeaving(2);
     BOOST_TEST(fleet.until([this] { return !openAt(0, 2) && !openAt(1, 2) && !openAt(2, 2); }));
@@ -160,14 +165,14 @@
     BOOST_TEST(fleet.engine(2).runs().empty());
 }
 
-BOOST_AUTO_TEST_CASE(engine_leavesWhilePlatformIsAway_isStillSeenByAll)
+BOOST_AUTO_TEST_CASE(engine_leavesWhilePlatformIsDown_allRoutersNotice)
 {
     fleet.platform().faults.down = true;
     fleet.engine(1).faults.leaving = true;
     BOOST_TEST(fleet.until([this] { return !openAt(0, 1) && !openAt(1, 1) && !openAt(2, 1); }));
 }
 
-BOOST_AUTO_TEST_CASE(platform_awayForLong_chatsGoOn)
+BOOST_AUTO_TEST_CASE(platform_downForLong_chatsContinue)
 {
     fleet.platform().faults.down = true;
     int whole = 0;
@@ -196,7 +201,7 @@
                 "POST", "/v1/leave",
                 http::Fields().with("Authorization", "Bearer " + support::OperatorKeyText));
         co_await http::call(fleet.io(), fleet.context(0).settings.control, leave, {});
-        // The balancer hasn't noticed yet and still sends one.
+        // The balancer hasn't noticed the stop yet and still sends a request.
         const Turn turn{.chat = "late"};
         late = co_await fleet.chatAsync(0, turn);
     });
@@ -222,8 +227,8 @@
                     co_await pause(5ms);
                 }
                 fleet.revive(router);
-                // The next one only after the load has gone on for a while, however slow the
-                // machine.
+                // The next router is restarted only after some more requests were served, however
+                // slow the machine is.
                 const int before = served;
                 while (!fleet.settled() || served < before + ServedBetween) {
                     co_await pause(5ms);
@@ -235,7 +240,7 @@
         int turnNumber = 0;
         while (!done) {
             ++turnNumber;
-            // The balancer: a router that says it is ready.
+            // Stands in for the balancer, which sends only to routers that report ready.
             const auto router = static_cast<std::size_t>(turnNumber + number) % fleet.routerCount();
             http::Request ready("GET", "/readyz");
             const auto answer = co_await fleet.callAsync(router, ready);
@@ -252,7 +257,7 @@
     BOOST_TEST(static_cast<std::size_t>(served) >= ServedBetween * fleet.routerCount());
 }
 
-BOOST_AUTO_TEST_CASE(organisation_surgesTenfold_noEngineIsOverTheBoundAndQuietOnesAreServed)
+BOOST_AUTO_TEST_CASE(organisation_surgesTenfold_noEngineIsOverTheBoundAndOthersAreServed)
 {
     int quietServed = 0;
     std::size_t worst = 0;
@@ -285,14 +290,14 @@
     BOOST_TEST(worst <= std::ceil(1.5 * static_cast<double>(peak + 1) / 6));
 }
 
-BOOST_AUTO_TEST_CASE(hall_cutInTwo_bothPartsServeAndTheBoundHoldsByTheEnginesReports)
+BOOST_AUTO_TEST_CASE(hall_partitioned_bothPartsServeAndEngineReportsKeepTheBound)
 {
     fleet.cut(0, 2);
     fleet.cut(1, 2);
-    const auto alone = [this] {
+    const auto ownsAllEngines = [this] {
         return fleet.context(2).kernel.find<services::OwnerService>("owner").owned() == 6;
     };
-    BOOST_TEST(fleet.until(alone));
+    BOOST_TEST(fleet.until(ownsAllEngines));
     int whole = 0;
     int refused = 0;
     double worst = 0;
@@ -316,9 +321,9 @@
             co_return;
         }
         for (int chat = worker; chat < Count; chat += 24) {
-            // An owner whose part doesn't see the other one's load may refuse at once. A caller
-            // that comes back as it is told must be served; nothing else than such a refusal may
-            // come in between.
+            // An owner that doesn't see the other part's load may refuse at once. A caller that
+            // tries again as advised must be served in the end, and get no other errors before
+            // that.
             const Turn turn{.chat = "c" + std::to_string(chat), .tokens = 60};
             auto answer = co_await fleet.chatAsync(static_cast<std::size_t>(chat % 3), turn);
             for (int again = 0; again < 100 && answer.resultCode == "202"; ++again) {
@@ -341,7 +346,7 @@
     BOOST_TEST(fleet.until([this] { return fleet.settled(); }));
 }
 
-BOOST_AUTO_TEST_CASE(boxList_suddenlyEmpty_isNotBelieved)
+BOOST_AUTO_TEST_CASE(boxList_suddenlyEmpty_isIgnored)
 {
     fleet.platform().setHall("hall-a", R"({"region":"here","boxes":[],"backends":[]})");
     BOOST_TEST(fleet.until(
@@ -353,7 +358,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(engineReport_laggingBehindADrop_isNotTakenForUnknownLoad)
+BOOST_AUTO_TEST_CASE(engineReport_lagsBehindALoadDrop_isNotCountedAsUnknownLoad)
 {
     Fleet lagging;
     lagging.settings([](kernel::BoxSettings &settings) { settings.loadLag = 600ms; });
@@ -370,7 +375,7 @@
     BOOST_TEST(lagging.until([&] {
         return lagging.context(0).kernel.find<services::PermitService>("permits").held() == 0;
     }));
-    // The engine goes on telling the load of the burst for a while; nothing of it is unknown.
+    // The engine goes on reporting the load of the burst for a while; none of it is unknown load.
     const std::uint64_t probes = lagging.context(0).counters.total("probes");
     std::uint32_t greatest = 0;
     const auto probedOften = [&] {
--- a/test/correctness/HallsTest.cpp
+++ b/test/correctness/HallsTest.cpp
@@ -1,5 +1,5 @@
-// Several halls: a request whose own hall has no place runs in another one, and a hall alone goes
-// on.
+// Tests several halls: a request whose own hall has no place runs in another hall, and a hall that
+// is cut off continues to serve.
 
 #include "services/ConfigService.h"
 #include "services/OwnerService.h"
@@ -31,7 +31,7 @@
 const membership::ShortHash SmallModel = membership::shortHash(kernel::hashOf("small"));
 
 /** Asks the other halls for a place, as the first router does when its own hall has none. */
-tl::expected<services::Permit, services::PermitRefusal> acquireAbroad(Fleet &fleet)
+tl::expected<services::Permit, services::PermitRefusal> acquireFromOtherHalls(Fleet &fleet)
 {
     const services::EngineRequirements need{.organisation = 1, .chat = 2, .model = SmallModel};
     tl::expected<services::Permit, services::PermitRefusal> result;
@@ -60,7 +60,7 @@
     BOOST_TEST(fleet.context(1).kernel.find<services::PermitService>("permits").held() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(spill_ownHallIsFull_restRunsElsewhere)
+BOOST_AUTO_TEST_CASE(spill_ownHallIsFull_excessRunsElsewhere)
 {
     Fleet fleet;
     fleet.engines("hall-a", 1).routers("hall-a", 1).engines("hall-b", 3).routers("hall-b", 1);
@@ -73,18 +73,18 @@
                         .backends.empty();
     }));
     int whole = 0;
-    int abroad = 0;
+    int servedElsewhere = 0;
     fleet.forEach(6, 6, [&](int number) -> asio::awaitable<void> {
         const Turn turn{.chat = "c" + std::to_string(number), .tokens = 100};
         const auto answer = co_await fleet.chatAsync(0, turn);
         whole += answer.whole ? 1 : 0;
-        abroad += answer.engine.starts_with("hall-b") ? 1 : 0;
+        servedElsewhere += answer.engine.starts_with("hall-b") ? 1 : 0;
     });
     BOOST_TEST(whole == 6);
-    BOOST_TEST(abroad == 4);
+    BOOST_TEST(servedElsewhere == 4);
 }
 
-BOOST_AUTO_TEST_CASE(spill_noOtherHall_callerIsToldThatTheOwnOneIsFull)
+BOOST_AUTO_TEST_CASE(spill_noOtherHall_isRefusedAsFull)
 {
     Fleet fleet;
     fleet.engines("hall-a", 1).routers("hall-a", 1);
@@ -100,7 +100,8 @@
                == 2);
 }
 
-// The engine that refuses runs nothing, so the other hall would choose it again and again.
+// The refusing engine runs no requests and so has the lowest load: without the exclusion the other
+// hall would choose it again and again.
 BOOST_AUTO_TEST_CASE(spill_engineElsewhereRefusesTheChat_anotherOneThereServesIt)
 {
     Fleet fleet;
@@ -115,8 +116,8 @@
     }
 }
 
-// The other hall's word is taken as it is: without an engine that works it isn't full.
-BOOST_AUTO_TEST_CASE(spill_otherHallsEngineIsDown_isRefusedForWantOfAnEngine)
+// The other hall's reason is passed on: a hall without a working engine isn't full.
+BOOST_AUTO_TEST_CASE(spill_otherHallsEngineIsDown_isRefusedWithNoEngine)
 {
     Fleet fleet;
     fleet.routers("hall-a", 1).engines("hall-b", 1).routers("hall-b", 1);
@@ -127,7 +128,7 @@
         auto &owner = fleet.context(1).kernel.find<services::OwnerService>("owner");
         return !owner.view().backends.at(0).open();
     }));
-    const auto permit = acquireAbroad(fleet);
+    const auto permit = acquireFromOtherHalls(fleet);
     BOOST_REQUIRE(!permit.has_value());
     BOOST_TEST((permit.error().code == outcome::ResultCode::NoEngine));
 }
@@ -142,13 +143,13 @@
         const auto &config = fleet.context(1).kernel.find<services::ConfigService>("config");
         return config.effective().poolOfModelHash(SmallModel)->slots == 1;
     }));
-    BOOST_TEST(fleet.until([&] { return acquireAbroad(fleet).has_value(); }));
-    const auto permit = acquireAbroad(fleet);
+    BOOST_TEST(fleet.until([&] { return acquireFromOtherHalls(fleet).has_value(); }));
+    const auto permit = acquireFromOtherHalls(fleet);
     BOOST_REQUIRE(!permit.has_value());
     BOOST_TEST((permit.error().code == outcome::ResultCode::EnginesFull));
 }
 
-BOOST_AUTO_TEST_CASE(spill_forbiddenForThePool_isRefusedInsteadAtOnce)
+BOOST_AUTO_TEST_CASE(spill_forbiddenForThePool_isRefusedAtOnce)
 {
     Fleet fleet;
     fleet.routers("hall-a", 1).engines("hall-b", 1).routers("hall-b", 1);
@@ -159,7 +160,7 @@
     BOOST_TEST(!answer.retryAfter.empty());
 }
 
-BOOST_AUTO_TEST_CASE(spill_askerDies_placeIsFreeAgainAfterTheLease)
+BOOST_AUTO_TEST_CASE(spill_askingBoxDies_placeIsFreeAgainAfterTheLease)
 {
     Fleet fleet;
     fleet.routers("hall-a", 1).engines("hall-b", 1).routers("hall-b", 1);
@@ -178,7 +179,7 @@
     BOOST_TEST(fleet.until([&] { return inFlightAt(fleet, 1) == 0; }));
 }
 
-BOOST_AUTO_TEST_CASE(hall_cutOffFromThePlatformAndOthers_goesOnServing)
+BOOST_AUTO_TEST_CASE(hall_cutOffFromPlatformAndOtherHalls_continuesServing)
 {
     Fleet fleet;
     fleet.engines("hall-a", 2)
