--- a/src/services/CrashService.h
+++ b/src/services/CrashService.h
@@ -102,7 +102,8 @@
      * was a record of it. */
     bool lift(const forward::RequestIdentity &request);
 
-    /** Notes that the platform no longer lists a backend server. */
+    /** Notes that the platform no longer lists a backend server: if lost attempts on it are still
+     * unresolved, it counts as crashed. */
     void onServerDelisted(const std::string &id);
 
     /** Sets a function that fetches a record from outside this part of the fleet before a request
@@ -178,7 +179,7 @@
             crashedServers_; ///< When a crash was seen, by server incarnation.
     std::deque<Resend> resends_;
     std::map<std::uint64_t, std::uint64_t>
-            incarnations_;       ///< Incarnations by box, at the last sweep.
+            incarnations_;       ///< Incarnation of each box at the last sweep.
     std::size_t nextRecord_ = 0; ///< The record that sendToRandomBox() sends next.
     std::vector<Changed> changed_;
     LookUp lookUp_; ///< If empty, no record is fetched.
--- a/src/services/PeriodicTask.h
+++ b/src/services/PeriodicTask.h
@@ -26,7 +26,7 @@
     PeriodicTask(const PeriodicTask &) = delete;
     PeriodicTask &operator=(const PeriodicTask &) = delete;
 
-    /** Starts the next round without the rest of the current pause. */
+    /** Ends the current pause at once; if a round is running, the pause after it is skipped. */
     void hurry();
 
 private:
--- a/src/services/PermitService.cpp
+++ b/src/services/PermitService.cpp
@@ -23,7 +23,8 @@
 
 namespace {
 
-constexpr std::size_t MaxBoxesAsked = 3; ///< Boxes that are asked before a permit is refused.
+constexpr std::size_t MaxBoxesAsked =
+        3; ///< Boxes that are asked about a resource before giving up.
 constexpr int TriesPerBox = 2;
 constexpr kernel::Duration DefaultRetryDelay = 1s;
 
