--- a/src/gateway/CrashStore.h
+++ b/src/gateway/CrashStore.h
@@ -13,7 +13,7 @@
 #include "gateway/Adapter.h"
 #include "gateway/FeedConnection.h"
 #include "services/CrashService.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "store/Backoff.h"
 
 #include <map>
@@ -53,7 +53,7 @@
     std::string lastName_; ///< Name of the last object that was read.
     std::map<forward::RequestIdentity, forward::CrashRecord> saved_; ///< Records in the store.
     std::set<forward::RequestIdentity> toRemove_;
-    std::unique_ptr<services::Repeat> loop_;
+    std::unique_ptr<services::PeriodicTask> loop_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/FleetView.h
+++ b/src/gateway/FleetView.h
@@ -125,7 +125,7 @@
     std::unique_ptr<ObjectFeed> configurationFeed_;
     std::unique_ptr<ObjectFeed> serverFeed_;
     std::unique_ptr<ObjectFeed> hallDrainFeed_; ///< nullptr if draining of halls is off.
-    std::unique_ptr<services::Repeat> sweep_;
+    std::unique_ptr<services::PeriodicTask> sweep_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -19,7 +19,7 @@
 #include "gateway/RelayClient.h"
 #include "peer/FeedRecord.h"
 #include "services/Context.h"
-#include "services/Repeat.h"
+#include "services/PeriodicTask.h"
 #include "store/FeedPace.h"
 #include "store/SourceSelector.h"
 
@@ -190,7 +190,7 @@
     bool processing_ = false;    ///< A complete answer has arrived and isn't processed yet.
     kernel::Duration latency_{}; ///< Of the store's last answer, without the watch's wait.
     bool failing_ = false;
-    std::unique_ptr<services::Repeat> loop_;
+    std::unique_ptr<services::PeriodicTask> loop_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/PlaceService.h
+++ b/src/gateway/PlaceService.h
@@ -127,7 +127,7 @@
     forward::FleetSizeEstimate startFleet_; ///< Number of boxes that share a cold server's limit.
     std::deque<std::vector<std::uint64_t>> ownerSamples_; ///< A sample a second, newest last.
     std::map<std::uint64_t, int> silences_;               ///< Unanswered asks in a row, by owner.
-    std::unique_ptr<services::Repeat> sweep_;
+    std::unique_ptr<services::PeriodicTask> sweep_;
 };
 
 } // namespace limereel::gateway
--- a/src/gateway/RequestRun.cpp
+++ b/src/gateway/RequestRun.cpp
@@ -184,24 +184,25 @@
 // a time in the whole fleet, or may not run at all.
 asio::awaitable<std::optional<RequestRun::Refusal>> RequestRun::acquireSendPermission()
 {
-    const services::SendLeave permission = co_await run_.guard.takeLeave(run_.left());
+    const services::SendPermission permission =
+            co_await run_.guard.acquireSendPermission(run_.left());
     if (permission.granted()) {
         co_return std::nullopt;
     }
     logSendDenied(run_, permission);
-    co_return Refusal{services::codeOf(permission), services::whyNoLeave(permission), true,
-                      permission.comeBack};
+    co_return Refusal{services::codeOf(permission), services::denialMessage(permission), true,
+                      permission.notBefore};
 }
 
 asio::awaitable<void> RequestRun::noteEnd(AttemptEnd end)
 {
-    using services::AttemptSight;
-    AttemptSight sight = AttemptSight::Nothing;
+    using services::AttemptOutcome;
+    AttemptOutcome sight = AttemptOutcome::Nothing;
     if (run_.answeredWhole) {
-        sight = AttemptSight::Whole;
+        sight = AttemptOutcome::Whole;
     } else if (end == AttemptEnd::MayHaveRun) {
         const bool lost = run_.failure == forward::Failure::Lost && !run_.stopped();
-        sight = lost ? AttemptSight::Lost : AttemptSight::Interrupted;
+        sight = lost ? AttemptOutcome::Lost : AttemptOutcome::Interrupted;
     }
     const forward::ListedServer &server = run_.choice.server;
     services::AttemptServer tried{server.id, server.hash(), server.address};
--- a/src/gateway/RunLog.cpp
+++ b/src/gateway/RunLog.cpp
@@ -105,14 +105,14 @@
                 "A backend server asks for rest in a way that can't be read.");
 }
 
-void logSendDenied(RunState &run, const services::SendLeave &permission)
+void logSendDenied(RunState &run, const services::SendPermission &permission)
 {
     log().event("no-leave",
                 {{"request", run.call.id},
                  {"identity", forward::text(run.guard.identity())},
                  {"organisation", run.organisation},
                  {"standing", text(permission.restriction)},
-                 {"come_back_ms", permission.comeBack / 1ms},
+                 {"come_back_ms", permission.notBefore / 1ms},
                  {"sends", run.counts.sends}},
                 "The request isn't sent, as backend servers have ended under it.");
 }
--- a/src/gateway/RunLog.h
+++ b/src/gateway/RunLog.h
@@ -28,7 +28,7 @@
 void logBackoffUnreadable(const RunState &run);
 
 /** Logs that the request isn't sent because backend servers crashed while running it. */
-void logSendDenied(RunState &run, const services::SendLeave &permission);
+void logSendDenied(RunState &run, const services::SendPermission &permission);
 
 /** Logs the end of the request. */
 void logEnd(const RunState &run, std::string_view result, const std::string &why = {});
--- a/src/services/CrashGuard.cpp
+++ b/src/services/CrashGuard.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-// A request that ends servers does so as it begins to run.
-constexpr kernel::Duration BeginsWithin = 1s;
+// A request that crashes servers does so as it begins to run.
+constexpr kernel::Duration StartPhase = 1s;
 
 } // namespace
 
-AttemptSight sightOf(outcome::FailurePoint point)
+AttemptOutcome attemptOutcomeOf(outcome::FailurePoint point)
 {
     using outcome::FailurePoint;
     switch (point) {
     case FailurePoint::PartSent:
     case FailurePoint::AllSent:
     case FailurePoint::AnswerBegun:
-        return AttemptSight::Lost;
+        return AttemptOutcome::Lost;
     case FailurePoint::AnsweredFailure:
-        return AttemptSight::Whole;
+        return AttemptOutcome::Whole;
     default:
-        return AttemptSight::Nothing;
+        return AttemptOutcome::Nothing;
     }
 }
 
@@ -55,42 +55,42 @@
     return *identity_;
 }
 
-bool CrashGuard::isKnown() const
+bool CrashGuard::hasRecords() const
 {
     return crashes_.concerns(shape_);
 }
 
-bool CrashGuard::needsLeave()
+bool CrashGuard::needsPermission()
 {
-    return isKnown() && crashes_.restriction(identity()) != forward::SendRestriction::Free;
+    return hasRecords() && crashes_.restriction(identity()) != forward::SendRestriction::Free;
 }
 
 void CrashGuard::handBack()
 {
-    if (alone_ != 0) {
-        crashes_.handBack(identity(), std::exchange(alone_, 0));
+    if (aloneGrant_ != 0) {
+        crashes_.handBack(identity(), std::exchange(aloneGrant_, 0));
     }
 }
 
-asio::awaitable<SendLeave> CrashGuard::takeLeave(kernel::Duration longest)
+asio::awaitable<SendPermission> CrashGuard::acquireSendPermission(kernel::Duration longest)
 {
-    // The attempt before didn't use it.
+    // The previous attempt didn't use its grant.
     handBack();
     firstPiece_.reset();
-    sound_ = false;
-    SendLeave leave;
-    if (needsLeave()) {
+    pastStart_ = false;
+    SendPermission permission;
+    if (needsPermission()) {
         forward::RequestIdentity request = identity();
-        leave = co_await crashes_.askLeave(request, longest);
-        alone_ = leave.alone;
+        permission = co_await crashes_.requestSendPermission(request, longest);
+        aloneGrant_ = permission.aloneGrant;
     }
-    co_return leave;
+    co_return permission;
 }
 
-void CrashGuard::noteSound()
+void CrashGuard::noteHealthy()
 {
-    if (alone_ != 0 || isKnown()) {
-        crashes_.noteAnswered(identity(), std::exchange(alone_, 0));
+    if (aloneGrant_ != 0 || hasRecords()) {
+        crashes_.noteAnswered(identity(), std::exchange(aloneGrant_, 0));
     }
 }
 
@@ -100,29 +100,29 @@
     if (!firstPiece_) {
         firstPiece_ = now;
     }
-    if (!sound_ && now - *firstPiece_ >= BeginsWithin) {
-        sound_ = true;
-        noteSound();
+    if (!pastStart_ && now - *firstPiece_ >= StartPhase) {
+        pastStart_ = true;
+        noteHealthy();
     }
 }
 
-asio::awaitable<void> CrashGuard::noteEnd(AttemptSight sight, AttemptServer server)
+asio::awaitable<void> CrashGuard::noteEnd(AttemptOutcome result, AttemptServer server)
 {
-    const bool ended = sight == AttemptSight::Lost || sight == AttemptSight::Interrupted;
-    const bool beginning = !firstPiece_ || context_.now() - *firstPiece_ < BeginsWithin;
-    if (sight == AttemptSight::Whole) {
-        noteSound();
+    const bool ended = result == AttemptOutcome::Lost || result == AttemptOutcome::Interrupted;
+    const bool starting = !firstPiece_ || context_.now() - *firstPiece_ < StartPhase;
+    if (result == AttemptOutcome::Whole) {
+        noteHealthy();
     }
-    if (!ended || !beginning) {
+    if (!ended || !starting) {
         co_return;
     }
-    const bool wasAlone = alone_ != 0;
-    LostAttempt lost{identity(),     std::move(server.id),     server.life,
-                     server.address, std::exchange(alone_, 0), wasAlone};
-    if (sight == AttemptSight::Lost) {
+    const bool wasAlone = aloneGrant_ != 0;
+    LostAttempt lost{identity(),     std::move(server.id),          server.incarnationKey,
+                     server.address, std::exchange(aloneGrant_, 0), wasAlone};
+    if (result == AttemptOutcome::Lost) {
         co_await crashes_.noteLost(std::move(lost));
     } else if (wasAlone) {
-        crashes_.noteUnsettled(std::move(lost));
+        crashes_.noteInterrupted(std::move(lost));
     }
 }
 
