--- a/src/gateway/FrontService.cpp
+++ b/src/gateway/FrontService.cpp
@@ -47,7 +47,7 @@
                                              });
     server_->setRefusal([this](http::Refused why) { return refusalOf(why); });
     server_->onConnectionEnd([this](const http::ConnectionEnd &end) {
-        services::noteConnectionEnd(context_.counters, end);
+        services::recordConnectionEnd(context_.counters, end);
     });
     world_.onConfiguration([this](const forward::Snapshot &) { server_->setLimits(limits()); });
     world_.onServerGone([this](const forward::ListedServer &server) {
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -6,10 +6,10 @@
 #include "kernel/HeldSignals.h"
 #include "kernel/Log.h"
 #include "services/CrashService.h"
-#include "services/LoopWatch.h"
+#include "services/LoopStallMonitor.h"
 #include "services/MembershipService.h"
 #include "services/PeerService.h"
-#include "services/Start.h"
+#include "services/ProcessIdentity.h"
 
 #include <boost/asio.hpp>
 #include <csignal>
@@ -73,7 +73,7 @@
 void addGatewayServices(services::Context &context, Adapter adapter, std::function<void()> stopped)
 {
     kernel::Kernel &kernel = context.kernel;
-    kernel.add(std::make_unique<services::LoopWatch>(context));
+    kernel.add(std::make_unique<services::LoopStallMonitor>(context));
     kernel.add(std::make_unique<services::PeerService>(context));
     kernel.add(std::make_unique<services::MembershipService>(context, acquaintanceOf(context)));
     services::CrashService &crashes = kernel.add(std::make_unique<services::CrashService>(context));
--- a/src/gateway/GatewayServices.cpp
+++ b/src/gateway/GatewayServices.cpp
@@ -5,7 +5,7 @@
 #include "kernel/Log.h"
 #include "services/CrashService.h"
 #include "services/MembershipService.h"
-#include "services/StopEnd.h"
+#include "services/StopDeadline.h"
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -134,12 +134,12 @@
     timer.expires_after(first);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     front.drain();
-    services::StopEnd end({began + first, began + whole - LastMoment, LookEvery, LastMoment});
+    services::StopDeadline end({began + first, began + whole - LastMoment, LookEvery, LastMoment});
     // A turn of the loop first: a connection may be on its way from the listener to its first read.
     do {
         timer.expires_after(LookEvery);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    } while (front.active() > 0 && !end.over(context_.now()));
+    } while (front.active() > 0 && !end.expired(context_.now()));
     log().info("The planned stop is done, " + std::to_string(front.active())
                + " requests are cut.");
     done_();
--- a/src/gateway/PlaceService.cpp
+++ b/src/gateway/PlaceService.cpp
@@ -394,7 +394,7 @@
     co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     if (!pending->answer) {
         std::function<bool()> answered = [pending] { return pending->answer.has_value(); };
-        co_await peer.readWaiting(std::move(answered));
+        co_await peer.readPending(std::move(answered));
         context_.counters.add("waits_rescued", {{"what", "place"}}, pending->answer ? 1 : 0);
     }
     pending_.erase(ask.request);
--- a/src/services/CallerService.cpp
+++ b/src/services/CallerService.cpp
@@ -80,8 +80,9 @@
                                {"code", std::string(outcome::info(refusal.verdict.code).name)}});
         return refusalAnswer(newRequestId(), refusal);
     });
-    server_->onConnectionEnd(
-            [this](const http::ConnectionEnd &end) { noteConnectionEnd(context_.counters, end); });
+    server_->onConnectionEnd([this](const http::ConnectionEnd &end) {
+        recordConnectionEnd(context_.counters, end);
+    });
     server_->listen(context_.settings.caller);
     log().info("Callers are served at " + kernel::text(context_.settings.caller) + ".");
 }
--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -182,15 +182,15 @@
 
     asio::awaitable<ChatOutcome> attempt(int number)
     {
-        ChatOrder order{.request = id_ + "-" + std::to_string(number),
-                        .body = chat_.engineBody,
-                        .cacheKey = hexOf(need_.chat),
-                        .priority = organisation_.priority};
+        EngineRequest order{.request = id_ + "-" + std::to_string(number),
+                            .body = chat_.engineBody,
+                            .cacheKey = hexOf(need_.chat),
+                            .priority = organisation_.priority};
         text_.clear();
         pending_.clear();
-        CallerSide caller{.take = [this](const answer::Frame &frame) { take(frame); },
-                          .flush = [this] { return flush(); },
-                          .gone = [this] { return callerGone(); }};
+        FrameSink caller{.deliver = [this](const answer::Frame &frame) { deliver(frame); },
+                         .flush = [this] { return flush(); },
+                         .disconnected = [this] { return callerGone(); }};
         auto outcome =
                 co_await runChat(context_, permit_.backend, std::move(order), std::move(caller));
         using peer::Observed;
@@ -224,7 +224,7 @@
         co_await guard_.noteEnd(sight, std::move(server));
     }
 
-    void take(const answer::Frame &frame)
+    void deliver(const answer::Frame &frame)
     {
         guard_.notePiece();
         if (frame.sequence == 0) {
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -51,7 +51,7 @@
 class Attempt
 {
 public:
-    Attempt(Context &context, store::ListedBackend engine, ChatOrder order, CallerSide caller)
+    Attempt(Context &context, store::ListedBackend engine, EngineRequest order, FrameSink caller)
         : context_(context)
         , engine_(std::move(engine))
         , order_(std::move(order))
@@ -138,7 +138,7 @@
                 takeEvent(event);
             }
             const bool flushed = co_await caller_.flush();
-            outcome_.callerLeft = !flushed || caller_.gone();
+            outcome_.callerLeft = !flushed || caller_.disconnected();
         }
     }
 
@@ -173,7 +173,7 @@
             if (frame.end) {
                 outcome_.endReason = frame.text;
             }
-            caller_.take(frame);
+            caller_.deliver(frame);
         }
     }
 
@@ -217,8 +217,8 @@
 
     Context &context_;
     store::ListedBackend engine_;
-    ChatOrder order_;
-    CallerSide caller_;
+    EngineRequest order_;
+    FrameSink caller_;
     answer::FrameCheck check_;
     kernel::Endpoint endpoint_;
     ChatOutcome outcome_;
@@ -228,8 +228,8 @@
 
 } // namespace
 
-asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine, ChatOrder order,
-                                     CallerSide caller)
+asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine,
+                                     EngineRequest order, FrameSink caller)
 {
     Attempt attempt(context, std::move(engine), std::move(order), std::move(caller));
     co_return co_await attempt.run();
--- a/src/services/ChatRun.h
+++ b/src/services/ChatRun.h
@@ -21,7 +21,7 @@
 namespace limereel::services {
 
 /** What is sent to the engine. */
-struct ChatOrder
+struct EngineRequest
 {
     std::string request; ///< Unique for each attempt; the engine echoes it in each frame.
     std::string body;    ///< JSON, passed on as the caller sent it but for the streaming flag.
@@ -44,16 +44,16 @@
 };
 
 /** The way to the caller. */
-struct CallerSide
+struct FrameSink
 {
-    std::function<void(const answer::Frame &frame)> take; ///< Takes the next frame, in order.
+    std::function<void(const answer::Frame &frame)> deliver; ///< Takes the next frame, in order.
     std::function<boost::asio::awaitable<bool>()>
-            flush;              ///< Sends on what was taken; false: the caller has left.
-    std::function<bool()> gone; ///< Whether the caller has left, as far as can be seen.
+            flush;                      ///< Sends on what was taken; false: the caller has left.
+    std::function<bool()> disconnected; ///< Whether the caller has left, as far as can be seen.
 };
 
 /** Runs \a order on \a engine. Frames that came together are flushed together. */
 boost::asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine,
-                                            ChatOrder order, CallerSide caller);
+                                            EngineRequest order, FrameSink caller);
 
 } // namespace limereel::services
--- a/src/services/ConnectionLog.cpp
+++ b/src/services/ConnectionLog.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void noteConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end)
+void recordConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end)
 {
     const std::string reason(http::text(end.reason));
     const std::string unread(http::text(end.unread));
--- a/src/services/ConnectionLog.h
+++ b/src/services/ConnectionLog.h
@@ -10,6 +10,6 @@
 namespace limereel::services {
 
 /** Counts \a end, and logs it where something was left unread or unanswered. */
-void noteConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end);
+void recordConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end);
 
 } // namespace limereel::services
--- a/src/services/CrashService.cpp
+++ b/src/services/CrashService.cpp
@@ -336,7 +336,7 @@
     co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     if (!pending->answer) {
         std::function<bool()> answered = [pending] { return pending->answer.has_value(); };
-        co_await peer.readWaiting(std::move(answered));
+        co_await peer.readPending(std::move(answered));
     }
     pending_.erase(report.ask);
     context_.counters.add("crash_asks", {{"result", pending->answer ? "answered" : "no-answer"}});
--- a/src/services/LoopWatch.cpp
+++ b/src/services/LoopStallMonitor.cpp
@@ -1,4 +1,4 @@
-#include "services/LoopWatch.h"
+#include "services/LoopStallMonitor.h"
 
 #include "kernel/Log.h"
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void LoopWatch::start()
+void LoopStallMonitor::start()
 {
     due_ = context_.now();
     turns_ = std::make_unique<Repeat>(context_.io,
@@ -33,12 +33,12 @@
                                       });
 }
 
-void LoopWatch::stop()
+void LoopStallMonitor::stop()
 {
     turns_.reset();
 }
 
-void LoopWatch::note(kernel::Instant due, kernel::Instant now)
+void LoopStallMonitor::note(kernel::Instant due, kernel::Instant now)
 {
     const kernel::Duration late = now - due;
     if (late < Standstill) {
--- a/src/services/LoopWatch.h
+++ b/src/services/LoopStallMonitor.h
@@ -12,10 +12,10 @@
 namespace limereel::services {
 
 /** The watch. */
-class LoopWatch : public kernel::Service
+class LoopStallMonitor : public kernel::Service
 {
 public:
-    explicit LoopWatch(Context &context)
+    explicit LoopStallMonitor(Context &context)
         : context_(context)
     {
     }
--- a/src/services/PeerService.cpp
+++ b/src/services/PeerService.cpp
@@ -67,7 +67,7 @@
                           datagram.size() + Ipv4AndUdpHeaders);
 }
 
-asio::awaitable<void> PeerService::readWaiting(std::function<bool()> enough)
+asio::awaitable<void> PeerService::readPending(std::function<bool()> enough)
 {
     bool waiting = true;
     for (int looks = 0; looks < MostLooks && waiting && !enough(); ++looks) {
--- a/src/services/PeerService.h
+++ b/src/services/PeerService.h
@@ -37,7 +37,7 @@
     void onMessage(Receive receive) { receivers_.push_back(std::move(receive)); }
 
     /** Sets a hook that may drop what is sent or received; tests cut boxes off with it. */
-    void setPasses(std::function<bool(const kernel::Endpoint &other)> passes)
+    void setFilter(std::function<bool(const kernel::Endpoint &other)> passes)
     {
         passes_ = std::move(passes);
     }
@@ -48,7 +48,7 @@
     /** Lets the loop read what lies unread in the socket, until \a enough holds or nothing is left.
      * To be awaited before a message that didn't come in time is given up: after a standstill of
      * the loop the end of a wait may be handled ahead of it. */
-    boost::asio::awaitable<void> readWaiting(std::function<bool()> enough);
+    boost::asio::awaitable<void> readPending(std::function<bool()> enough);
 
 private:
     void receiveNext();
--- a/src/services/PermitService.cpp
+++ b/src/services/PermitService.cpp
@@ -280,7 +280,7 @@
         co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable));
         if (!pending->answer) {
             std::function<bool()> answered = [pending] { return pending->answer.has_value(); };
-            co_await peer.readWaiting(std::move(answered));
+            co_await peer.readPending(std::move(answered));
             context_.counters.add("waits_rescued", {{"what", "permit"}}, pending->answer ? 1 : 0);
         }
     }
--- a/src/services/Start.cpp
+++ b/src/services/ProcessIdentity.cpp
@@ -1,4 +1,4 @@
-#include "services/Start.h"
+#include "services/ProcessIdentity.h"
 
 namespace limereel::services {
 
--- a/src/services/Router.cpp
+++ b/src/services/Router.cpp
@@ -9,16 +9,16 @@
 #include "services/ControlService.h"
 #include "services/CrashService.h"
 #include "services/DirectoryService.h"
-#include "services/LoopWatch.h"
+#include "services/LoopStallMonitor.h"
 #include "services/MembershipService.h"
 #include "services/OwnerService.h"
 #include "services/PeerService.h"
 #include "services/PermitService.h"
 #include "services/PlacementService.h"
 #include "services/PlatformService.h"
+#include "services/ProcessIdentity.h"
 #include "services/RestService.h"
 #include "services/SpillService.h"
-#include "services/Start.h"
 #include "services/StopService.h"
 
 #include <boost/asio.hpp>
@@ -57,7 +57,7 @@
 void addRouterServices(Context &context, std::function<void()> stopped)
 {
     auto &kernel = context.kernel;
-    kernel.add(std::make_unique<LoopWatch>(context));
+    kernel.add(std::make_unique<LoopStallMonitor>(context));
     kernel.add(std::make_unique<PeerService>(context));
     kernel.add(std::make_unique<PlatformService>(context));
     kernel.add(std::make_unique<DirectoryService>(context));
--- /dev/null
+++ b/src/services/StopDeadline.cpp
@@ -0,0 +1,23 @@
+#include "services/StopDeadline.h"
+
+namespace limereel::services {
+
+namespace {
+
+// A look that comes after so many times its pause tells of a standstill.
+constexpr int StandstillLooks = 3;
+
+} // namespace
+
+bool StopDeadline::expired(kernel::Instant now)
+{
+    const bool stoodStill = now - looked_ >= times_.pollInterval * StandstillLooks;
+    looked_ = now;
+    if (stoodStill && !respited_ && now + times_.deadlineExtension > times_.deadline) {
+        respited_ = true;
+        times_.deadline = now + times_.deadlineExtension;
+    }
+    return now >= times_.deadline;
+}
+
+} // namespace limereel::services
--- a/src/services/StopEnd.h
+++ b/src/services/StopDeadline.h
@@ -13,29 +13,29 @@
 namespace limereel::services {
 
 /** The times of a stop. */
-struct StopTimes
+struct StopSchedule
 {
-    kernel::Instant begun;        ///< When the first look was due.
-    kernel::Instant end;          ///< What runs then is cut.
-    kernel::Duration lookEvery{}; ///< Between two looks.
-    kernel::Duration respite{};   ///< After a standstill that passes the end.
+    kernel::Instant start;                ///< When the first look was due.
+    kernel::Instant deadline;             ///< What runs then is cut.
+    kernel::Duration pollInterval{};      ///< Between two looks.
+    kernel::Duration deadlineExtension{}; ///< After a standstill that passes the end.
 };
 
 /** The end of one stop. Pure: time is handed in. */
-class StopEnd
+class StopDeadline
 {
 public:
-    explicit StopEnd(const StopTimes &times)
+    explicit StopDeadline(const StopSchedule &times)
         : times_(times)
-        , looked_(times.begun)
+        , looked_(times.start)
     {
     }
 
     /** Whether what still runs at a look at \a now is cut. */
-    bool over(kernel::Instant now);
+    bool expired(kernel::Instant now);
 
 private:
-    StopTimes times_;
+    StopSchedule times_;
     kernel::Instant looked_; ///< The last look.
     bool respited_ = false;
 };
--- a/src/services/StopService.cpp
+++ b/src/services/StopService.cpp
@@ -3,7 +3,7 @@
 #include "kernel/Log.h"
 #include "services/CallerService.h"
 #include "services/MembershipService.h"
-#include "services/StopEnd.h"
+#include "services/StopDeadline.h"
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -56,12 +56,12 @@
     timer.expires_after(first);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     caller.drain();
-    StopEnd end({began + first, began + context_.settings.stopDeadline, LookEvery, Respite});
+    StopDeadline end({began + first, began + context_.settings.stopDeadline, LookEvery, Respite});
     // A turn of the loop first: a connection may be on its way from the listener to its first read.
     do {
         timer.expires_after(LookEvery);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    } while (caller.active() > 0 && !end.over(context_.now()));
+    } while (caller.active() > 0 && !end.expired(context_.now()));
     const std::size_t cut = caller.active();
     if (cut > 0) {
         log().error("The deadline of the planned stop has come; " + std::to_string(cut)
--- a/test/support/Fleet.cpp
+++ b/test/support/Fleet.cpp
@@ -413,7 +413,7 @@
         cuts_.erase({other, router});
     }
     for (const std::size_t end : {router, other}) {
-        context(end).kernel.find<services::PeerService>("peer").setPasses(
+        context(end).kernel.find<services::PeerService>("peer").setFilter(
                 [this, end](const kernel::Endpoint &address) {
                     for (std::size_t index = 0; index < routers_.size(); ++index) {
                         if (routers_[index]->settings.peer == address) {
