--- a/src/services/CallerService.cpp
+++ b/src/services/CallerService.cpp
@@ -155,7 +155,7 @@
                 requestId, refusalOf(ResultCode::BadKey, "no organisation has this API key")));
         co_return;
     }
-    // By value: the settings may change while the request is served.
+    // Copied, as the settings may change while the request is served.
     config::OrganisationSettings owner = *organisation;
     if (request.path() == "/v1/chat/completions") {
         co_await chats_.handle(std::move(request), reply, std::move(owner), std::move(requestId));
--- a/src/services/CallerService.h
+++ b/src/services/CallerService.h
@@ -1,5 +1,6 @@
 /** \file
- * The side towards callers: HTTP/1.1, organisations by API key, chats and services.
+ * The HTTP/1.1 interface for callers: identifies the organisation by its API key and dispatches
+ * chat requests and calls to plain services.
  */
 #pragma once
 
@@ -25,16 +26,17 @@
     void start() override;
     void stop() override;
 
-    /** Whether the balancer may send requests here. */
+    /** Whether the load balancer may send requests to this box. */
     bool ready() const;
 
-    /** Turns readiness off; requests are still served. */
+    /** Reports the box as not ready. Requests are still served; each connection is closed after its
+     * next answer. */
     void beginLeaving();
 
-    /** Takes no more connections. */
+    /** Stops accepting connections, and closes each open one after its current request. */
     void drain();
 
-    /** Requests that are being served. */
+    /** Number of requests that are being served. */
     std::size_t active() const;
 
 private:
--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-/** One request on its way. */
+/** Serves one chat request. */
 class ChatHandler::Run
 {
 public:
@@ -136,7 +136,8 @@
             if (!permit && spill_) {
                 auto elsewhere =
                         co_await context_.kernel.find<SpillService>("spill").acquire(need_);
-                // If no other hall has a place either, the own hall's reason and advice stand.
+                // If no other hall has capacity either, the reason and the
+                // Retry-After advice of this box's hall are returned.
                 if (elsewhere) {
                     permit = std::move(elsewhere);
                 }
@@ -149,7 +150,7 @@
                 co_return;
             }
             permit_ = *permit;
-            // Another hall's boxes don't know who has asked this one for rest.
+            // The boxes of another hall don't know which engines have asked this box to back off.
             if (context_.kernel.find<RestService>("rests").rests(permit_.life())) {
                 permits.giveBack(permit_, peer::Observed::Unused);
                 co_await giveUp(refusalOf(ResultCode::ServersRest, AllRest, ComeBackAfterFailure));
@@ -235,16 +236,16 @@
             text_ += frame.end ? "" : frame.text;
             return;
         }
-        // A chunk's text is put together from the parts that are the same in all of an answer's
-        // chunks: building the JSON object anew took most of the time of a token.
+        // The parts that are the same in all chunks of an answer are serialised once: building the
+        // JSON object for each chunk took most of the time spent on a token.
         pending_ += chunkHead();
         pending_ += frame.end ? "{},\"finish_reason\":" : "{\"content\":";
         pending_ += dump(json(frame.text));
         pending_ += frame.end ? "}]}\n\n" : "},\"finish_reason\":null}]}\n\n";
     }
 
-    // A streamed answer's next write fails if the caller has left. One that is collected writes
-    // nothing, so now and then the connection is looked at.
+    // A write of a streamed answer fails if the caller has disconnected. An answer that is
+    // collected writes nothing until its end, so the connection is checked from time to time.
     bool callerGone()
     {
         constexpr kernel::Duration LookEvery = 200ms;
@@ -290,7 +291,7 @@
         context_.counters.add("frames", {}, outcome.frames);
         count(ResultCode::Ok);
         if (chat_.stream) {
-            // A comment, which clients of server-sent events pass over.
+            // The first line is a comment, which clients of server-sent events ignore.
             co_await reply_.write(": result 0 ok\n\ndata: [DONE]\n\n");
             co_await reply_.finish();
             co_return;
@@ -336,7 +337,8 @@
             co_await reply_.send(refusalAnswer(id_, refusal));
             co_return;
         }
-        // Without the end of the chunks the caller's own HTTP client sees the cut as well.
+        // The final chunk of the chunked encoding isn't sent, so that the caller's HTTP client also
+        // detects the truncated answer.
         co_await reply_.write("event: error\ndata: " + refusalJson(id_, refusal) + "\n\n");
     }
 
@@ -355,15 +357,15 @@
     std::string id_;
     kernel::Instant begun_;
     CrashGuard guard_;
-    kernel::Instant looked_; ///< When the caller's connection was last looked at.
+    kernel::Instant looked_; ///< When the caller's connection was last checked.
     ChatRequest chat_;
     Need need_;
     bool spill_ = false;
     Permit permit_;
     outcome::Story story_;
-    std::string text_;      ///< Of an answer that isn't streamed.
-    std::string pending_;   ///< Chunks that were not yet sent.
-    std::string chunkHead_; ///< What all chunks of the answer begin with.
+    std::string text_;      ///< Text of an answer that isn't streamed.
+    std::string pending_;   ///< Chunks that haven't been sent yet.
+    std::string chunkHead_; ///< The common beginning of all chunks of the answer.
 };
 
 ChatHandler::ChatHandler(Context &context, outcome::RetryBudget &budget)
--- a/src/services/ChatHandler.h
+++ b/src/services/ChatHandler.h
@@ -1,6 +1,6 @@
 /** \file
- * Serves chat requests: a permit, an engine, the answer back, and another attempt where that is
- * allowed.
+ * Serves chat requests: acquires a permit for an engine, sends the request to the engine, streams
+ * the answer back, and makes another attempt where that is allowed.
  */
 #pragma once
 
@@ -16,13 +16,13 @@
 
 namespace limereel::services {
 
-/** The handler of POST /v1/chat/completions. */
+/** Handles POST /v1/chat/completions. */
 class ChatHandler
 {
 public:
     ChatHandler(Context &context, outcome::RetryBudget &budget);
 
-    /** Serves \a request of \a organisation under the id \a requestId. */
+    /** Serves \a request of \a organisation. \a requestId is returned in the answer. */
     boost::asio::awaitable<void> handle(http::Request request, http::Reply &reply,
                                         config::OrganisationSettings organisation,
                                         std::string requestId);
--- a/src/services/ChatRequest.cpp
+++ b/src/services/ChatRequest.cpp
@@ -47,7 +47,8 @@
     return std::nullopt;
 }
 
-// A caller that names no chat is known by how the chat began: the later turns begin alike.
+// If the caller names no chat, the messages up to and including the first user message identify it:
+// later turns of the chat repeat them.
 std::string beginningOf(const json &messages)
 {
     std::string beginning;
--- a/src/services/ChatRequest.h
+++ b/src/services/ChatRequest.h
@@ -1,5 +1,5 @@
 /** \file
- * A caller's chat request as a checked value.
+ * A caller's chat request, parsed and validated.
  */
 #pragma once
 
@@ -10,17 +10,17 @@
 
 namespace limereel::services {
 
-/** What a POST to /v1/chat/completions asks for. */
+/** The content of a POST to /v1/chat/completions. */
 struct ChatRequest
 {
     std::string model;
     std::string chat; ///< Id of the chat within the organisation.
     bool stream = false;
-    bool repeatable = true; ///< False with the field "X-Repeatable: no".
-    std::string engineBody; ///< JSON for the engine.
+    bool repeatable = true; ///< False if the header field "X-Repeatable: no" was sent.
+    std::string engineBody; ///< The JSON body for the engine.
 };
 
-/** Reads and checks \a request; an error says what was found and what is allowed. */
+/** Parses and validates \a request. The error text names the invalid field and what is allowed. */
 tl::expected<ChatRequest, std::string> chatRequestFrom(const http::Request &request);
 
 } // namespace limereel::services
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t MostEarlyFrames = 256;
 constexpr kernel::Duration CancelTimeout = 1s;
 
-/** What a frame is on the wire, with what only the last one says. */
+/** A frame as sent by the engine, with the field that isn't part of the answer itself. */
 struct WireFrame
 {
     Frame frame;
@@ -109,7 +109,7 @@
         auto stream = co_await http::Stream::open(context_.io, endpoint_, {"GET", target, {}, {}},
                                                   timeouts());
         if (!stream || stream->status() != 200) {
-            // An engine that doesn't know the request any more has lost it for good.
+            // An engine that can't be reached or no longer knows the request can't resume it.
             lost_ = stream.has_value() || stream.error().point == Point::BeforeConnect;
             co_return;
         }
@@ -153,7 +153,8 @@
         std::vector<Frame> due;
         switch (check_.take(std::move(wire->frame), due)) {
         case FrameResult::Foreign:
-            // It is dropped, and whether our own frames go on shows in the gap-free sequence.
+            // It is dropped. A frame of this request that is missing shows as a gap in the
+            // sequence.
             context_.counters.add("frames_dropped", {{"reason", "foreign"}});
             break;
         case FrameResult::Repeated:
@@ -223,7 +224,7 @@
     kernel::Endpoint endpoint_;
     ChatOutcome outcome_;
     bool begun_ = false;
-    bool lost_ = false; ///< Resuming can't help.
+    bool lost_ = false; ///< Whether the stream can't be resumed.
 };
 
 } // namespace
--- a/src/services/ChatRun.h
+++ b/src/services/ChatRun.h
@@ -1,9 +1,9 @@
 /** \file
- * One attempt of a chat request on one engine: sends it, checks every frame, resumes a stream that
- * broke, cancels the work when the caller has left.
+ * One attempt of a chat request on one engine: sends the request, checks every frame of the answer,
+ * resumes a stream that broke, and cancels the request when the caller has disconnected.
  *
- * What passes the check is handed on frame by frame; what the attempt came to is an outcome::Point,
- * or nothing if the answer is whole.
+ * Frames that pass the check are delivered one by one. An attempt that fails reports the
+ * outcome::Point at which it failed; one whose answer is complete reports none.
  */
 #pragma once
 
@@ -20,39 +20,38 @@
 
 namespace limereel::services {
 
-/** What is sent to the engine. */
+/** The request that is sent to the engine. */
 struct EngineRequest
 {
-    std::string request; ///< Unique for each attempt; the engine echoes it in each frame.
-    std::string body;    ///< JSON, passed on as the caller sent it but for the streaming flag.
-    std::string
-            cacheKey; ///< Under which the engine keeps the prefix; never shared by organisations.
+    std::string request;  ///< Unique for each attempt; the engine echoes it in each frame.
+    std::string body;     ///< JSON as the caller sent it, except that streaming is always on.
+    std::string cacheKey; ///< Key of the engine's prefix cache; organisations never share one.
     int priority = 0;
 };
 
-/** What the attempt came to. */
+/** The result of the attempt. */
 struct ChatOutcome
 {
-    std::optional<outcome::Point> failure; ///< Nothing: the answer is whole.
+    std::optional<outcome::Point> failure; ///< Empty if the answer is complete.
     bool leaving = false;                  ///< The engine refused because it is leaving.
-    http::RetryAfter rest;                 ///< What it said of rest as it refused.
+    http::RetryAfter rest; ///< The Retry-After advice of the engine's refusal, if any.
     bool callerLeft = false;
     std::string message;
     std::size_t frames = 0;
-    std::uint32_t cachedTokens = 0; ///< Of the prompt, as the engine says.
+    std::uint32_t cachedTokens = 0; ///< Prompt tokens that the engine found in its prefix cache.
     std::string endReason;
 };
 
-/** The way to the caller. */
+/** Callbacks that deliver the answer to the caller. */
 struct FrameSink
 {
     std::function<void(const answer::Frame &frame)> deliver; ///< Takes the next frame, in order.
     std::function<boost::asio::awaitable<bool>()>
-            flush;                      ///< Sends on what was taken; false: the caller has left.
-    std::function<bool()> disconnected; ///< Whether the caller has left, as far as can be seen.
+            flush; ///< Sends the delivered frames; false if the caller has disconnected.
+    std::function<bool()> disconnected; ///< Whether the caller is known to have disconnected.
 };
 
-/** Runs \a order on \a engine. Frames that came together are flushed together. */
+/** Runs \a order on \a engine. Frames that arrived in one read are flushed together. */
 boost::asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine,
                                             EngineRequest order, FrameSink caller);
 
--- a/src/services/ConfigService.cpp
+++ b/src/services/ConfigService.cpp
@@ -55,7 +55,7 @@
     return {.kind = kind, .problems = {}, .conflicts = {}, .message = std::move(message)};
 }
 
-/** The object as read: the tree, or an empty one where there is none yet. */
+/** The tree read from the platform and its version; an empty tree if the platform has none yet. */
 struct ReadTree
 {
     Tree tree;
@@ -104,13 +104,13 @@
     const auto &membership = context_.kernel.find<MembershipService>("membership");
     const std::uint64_t watch = kernel::hashOf("settings-watch/" + context_.settings.hall.text());
     const auto owner = membership::ownerOf(watch, membership.owners());
-    // A box that leaves while it is alone has no owner to hand over to, and goes on.
+    // A leaving box that is alone in the hall finds no owner and keeps watching.
     return !owner || *owner == membership.self();
 }
 
 asio::awaitable<kernel::Duration> ConfigService::watchRound()
 {
-    // A box without any settings reads for itself, whoever watches.
+    // A box without any settings reads them itself, even if another box watches.
     if (!isWatcher() && ready()) {
         co_return context_.settings.heartbeatPeriod;
     }
@@ -169,11 +169,12 @@
     co_return context_.settings.heartbeatPeriod;
 }
 
-// The platform has an older tree than the one in force: it was restored. What was accepted must not
-// revert, so it is given the newer tree, under the condition that nobody else did so first.
+// Writes the tree in force back to a platform that has an older one because it was restored.
+// Accepted updates must not be reverted. The write is conditional, so that only one box makes it.
 asio::awaitable<void> ConfigService::repair(std::uint64_t version)
 {
-    log().warn("The platform holds revision older than the one in force; it is given ours.");
+    log().warn("The platform holds an older revision than the one in force; the newer tree is "
+               "written back.");
     context_.counters.add("settings_repairs");
     auto &platform = context_.kernel.find<PlatformService>("platform");
     const StoreResult result =
@@ -233,8 +234,7 @@
                     + "; ours stays in force. See OPERATIONS.md, 'Divergent settings'.");
         break;
     case OfferResult::Invalid:
-        log().error("A tree that breaks the rules came from " + source
-                    + "; it is not put in force.");
+        log().error("A tree that breaks the rules came from " + source + "; it is rejected.");
         break;
     case OfferResult::Same:
     case OfferResult::Older:
@@ -304,8 +304,8 @@
                     + wanted.id + " before trying again"));
 }
 
-// One read and one conditional write. Nothing: try again, which is safe because an update that took
-// effect although its answer was lost is found in the history by its id.
+// Makes one read and one conditional write. Returns nothing if the caller should try again. That is
+// safe: an update that took effect although its answer was lost is found in the history by its id.
 asio::awaitable<std::optional<tl::expected<std::uint64_t, UpdateRefusal>>>
 ConfigService::tryUpdate(const Update &wanted, std::uint64_t base)
 {
--- a/src/services/ConfigService.h
+++ b/src/services/ConfigService.h
@@ -1,11 +1,11 @@
 /** \file
- * Keeps the tree of settings in force on this box, and takes operators' updates.
+ * Keeps the settings tree in force on this box up to date, and applies operators' updates.
  *
- * One box of the hall, found by rendezvous hashing, watches the platform. The others learn from the
- * revision in the heartbeats that they are behind, and fetch what is missing from a box that is
- * ahead. So the platform carries one waiting watch a hall, and a hall that is cut off from the
- * platform still spreads what any of its boxes has. A platform that was restored to old data is
- * given the newer tree back.
+ * One box of the hall, chosen by rendezvous hashing, watches the platform. The other boxes see from
+ * the revisions in the heartbeats that they are behind, and fetch the missing updates from a box
+ * that is ahead. So the platform serves only one long poll per hall, and a hall that is cut off
+ * from the platform still distributes the newest revision that any of its boxes has. If the
+ * platform was restored to older data, the newer tree is written back to it.
  */
 #pragma once
 
@@ -41,7 +41,7 @@
     std::string message;
 };
 
-/** The settings tree of a box. */
+/** The settings tree in force on a box. */
 class ConfigService : public kernel::Service
 {
 public:
@@ -54,14 +54,16 @@
     bool ready() const { return !installed_.empty(); }
     const config::Installed &installed() const { return installed_; }
 
-    /** The settings in force, worked out; must not be called before ready(). */
+    /** The effective settings, with inheritance resolved. Must not be called before ready(). */
     const config::EffectiveSettings &effective() const { return *effective_; }
 
-    /** Makes an update of \a changes that were thought of on the tree of revision \a base. */
+    /** Applies \a changes, which the operator made against revision \a base, as one update.
+     * \return the new revision. */
     boost::asio::awaitable<tl::expected<std::uint64_t, UpdateRefusal>>
     update(std::vector<config::Change> changes, std::uint64_t base, std::string author);
 
-    /** Which boxes have which revision, by hall, as the halls' watchers last wrote. */
+    /** The revision of each box, by hall and box name. Other halls' revisions are those that their
+     * watching box last wrote to the platform. */
     boost::asio::awaitable<std::map<std::string, std::map<std::string, std::uint64_t>>> status();
 
 private:
@@ -81,7 +83,8 @@
     Context &context_;
     config::Installed installed_;
     std::shared_ptr<const config::EffectiveSettings> effective_;
-    std::uint64_t seenVersion_ = 0; ///< Of the object on the platform.
+    std::uint64_t seenVersion_ =
+            0; ///< Version of the platform's object when it was last read or written.
     bool everRead_ = false;
     std::map<std::string, std::uint64_t> statusWritten_;
     store::Backoff backoff_;
--- a/src/services/ConnectionLog.cpp
+++ b/src/services/ConnectionLog.cpp
@@ -42,7 +42,7 @@
                      {"read_bytes", end.readBytes},
                      {"late_looks", end.lateLooks},
                      {"fault", end.fault}},
-                    "A request may have been lost with this connection, or nearly was.");
+                    "A request may have been lost, or nearly was, when this connection ended.");
     }
 }
 
--- a/src/services/ConnectionLog.h
+++ b/src/services/ConnectionLog.h
@@ -1,6 +1,7 @@
 /** \file
- * What is told of the ends of callers' connections: a counter by reason, and a line for each end
- * that may have cost a caller its request. No other line tells of a request that was never read.
+ * Metrics and log lines for closed connections of callers: a counter by reason, and a log line for
+ * each connection whose end may have lost a request. A request that was never read appears in no
+ * other log line.
  */
 #pragma once
 
@@ -9,7 +10,7 @@
 
 namespace limereel::services {
 
-/** Counts \a end, and logs it where something was left unread or unanswered. */
+/** Counts \a end, and logs it if a request may have been lost with the connection. */
 void recordConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end);
 
 } // namespace limereel::services
--- a/src/services/Context.h
+++ b/src/services/Context.h
@@ -1,6 +1,6 @@
 /** \file
- * What every service of a box is given: the event loop, the settings, the clock, chance, the
- * counters, and the kernel in which it finds the others.
+ * The state that all services of a box share: the event loop, the settings, the clock, the random
+ * number generator, the counters, and the kernel through which a service finds the others.
  */
 #pragma once
 
@@ -16,13 +16,14 @@
 
 namespace limereel::services {
 
-/** Shared by the services of one process; outlives them all. Used from the loop's one thread. */
+/** Shared by the services of one process and outlives them. Used only from the thread of the event
+ * loop. */
 struct Context
 {
     boost::asio::io_context &io;
     kernel::BoxSettings settings;
     std::uint64_t incarnation =
-            0; ///< Of this process; greater than that of any before it on the box.
+            0; ///< Of this process; greater than that of any earlier process on the box.
     kernel::Counters counters;
     kernel::Kernel kernel;
     std::mt19937_64 random;
--- a/src/services/ControlService.h
+++ b/src/services/ControlService.h
@@ -1,8 +1,8 @@
 /** \file
- * The side towards operators and monitors: metrics, status, settings, the planned stop.
+ * The HTTP interface for operators and monitoring: metrics, status, settings, the planned stop.
  *
- * Whatever shows or changes settings, or stops the box, asks for an operator's key. Health and
- * metrics don't; the address belongs on a network that callers can't reach.
+ * Everything except health, readiness and metrics requires an operator's key. The address belongs
+ * on a network that callers can't reach.
  */
 #pragma once
 
--- a/src/services/DirectoryService.cpp
+++ b/src/services/DirectoryService.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-// Other halls matter only when a request leaves its own.
+// Directory periods between two reads of the other halls' lists, which are needed only when a
+// request spills over to another hall.
 constexpr int OthersEvery = 20;
 constexpr kernel::Duration LongestBackoff = 15s;
 constexpr int DoubtsAtMost =
-        30; ///< Reads for which a list that lost most of the hall is not believed.
+        30; ///< Consecutive reads after which a list that lost most of the hall is accepted.
 
 const kernel::Log &log()
 {
--- a/src/services/DirectoryService.h
+++ b/src/services/DirectoryService.h
@@ -1,6 +1,6 @@
 /** \file
- * Keeps the platform's lists of boxes and backend servers at hand: the own hall's list often, the
- * other halls' seldom. When the platform is away the last lists stay.
+ * Caches the platform's lists of boxes and backend servers. The list of this box's hall is read
+ * often, those of other halls seldom. While the platform is unreachable the last lists stay in use.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace limereel::services {
 
-/** The lists. */
+/** The cached lists of all halls. */
 class DirectoryService : public kernel::Service
 {
 public:
@@ -26,16 +26,16 @@
     void start() override;
     void stop() override;
 
-    /** The own hall's list as last read; empty lists before that. */
+    /** The list of this box's hall as last read; empty before the first read. */
     const store::HallList &own() const { return own_.list; }
 
-    /** Whether the own hall's list was ever read. */
+    /** Whether the list of this box's hall has been read. */
     bool known() const { return own_.version != 0; }
 
     /** The other halls' lists as last read. */
     const std::map<std::string, store::HallList> &others() const { return others_; }
 
-    /** Counts the changes of the own list, so that readers know when to look again. */
+    /** Number of changes of this hall's list so far. Readers compare it to detect a change. */
     std::uint64_t changes() const { return changes_; }
 
     /** The backend server whose name has \a hash, in this hall or another one. */
@@ -59,7 +59,7 @@
     std::map<std::string, store::HallList> others_;
     std::map<std::string, std::uint64_t> otherVersions_;
     std::uint64_t changes_ = 0;
-    int doubts_ = 0; ///< Reads in a row that gave an implausible list.
+    int doubts_ = 0; ///< Consecutive reads that returned an implausible list.
     std::optional<kernel::Instant> othersRead_;
     store::Backoff backoff_;
     std::unique_ptr<Repeat> loop_;
--- a/src/services/LoopStallMonitor.cpp
+++ b/src/services/LoopStallMonitor.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Four turns a second cost next to nothing, and find most of what holds requests up for longer.
+// Four checks a second cost next to nothing, and detect most stalls longer than a check interval.
 constexpr kernel::Duration TurnEvery = 250ms;
-// Answers are due within a tenth of a second where callers are most in a hurry.
+// The most urgent requests must be answered within 100 ms, so a stall of that length matters.
 constexpr kernel::Duration Standstill = 100ms;
 
 const kernel::Log &log()
--- a/src/services/LoopStallMonitor.h
+++ b/src/services/LoopStallMonitor.h
@@ -1,6 +1,7 @@
 /** \file
- * Notices that the event loop stood still: a long computation, a process that was paused, a busy
- * machine. Whatever waits longer than it should may have waited for this.
+ * Detects stalls of the event loop, such as a long computation, a paused process or a busy machine.
+ * A stall delays every timer and answer of the process, so its record explains waits that took too
+ * long.
  */
 #pragma once
 
@@ -11,7 +12,7 @@
 
 namespace limereel::services {
 
-/** The watch. */
+/** Schedules a periodic check and records how late it ran. */
 class LoopStallMonitor : public kernel::Service
 {
 public:
@@ -25,7 +26,7 @@
     void stop() override;
 
 private:
-    /** A turn came at \a now; \a due is when it should have come. */
+    /** Records a check that ran at \a now but was due at \a due. */
     void note(kernel::Instant due, kernel::Instant now);
 
     Context &context_;
--- a/src/services/PeerService.cpp
+++ b/src/services/PeerService.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 constexpr std::size_t Ipv4AndUdpHeaders = 28;
-// One datagram or more is read between two looks. The system's usual buffer of 208 kB holds some
-// hundred of ours; a peer that keeps sending must not hold a waiter up.
+// At least one datagram is read between two polls. The system's default receive buffer of 208 kB
+// holds some hundred datagrams of this protocol. The limit keeps a peer that sends without pause
+// from blocking the caller of readPending().
 constexpr int MostLooks = 256;
 
 const char *kindOf(const peer::Message &message)
@@ -72,8 +73,9 @@
     bool waiting = true;
     for (int looks = 0; looks < MostLooks && waiting && !enough(); ++looks) {
         waiting = http::arrivedAt(socket_.native_handle()) != http::Arrived::Nothing;
-        // Also when nothing is left: the last datagram may have been taken from the socket and wait
-        // for its handler, since the read that follows each one takes the next one at once.
+        // Yields to the event loop even if the socket is empty: the last datagram may have been
+        // read already while its handler still waits to run: the read that each handler starts
+        // takes the next datagram at once.
         co_await asio::post(context_.io, asio::use_awaitable);
     }
 }
--- a/src/services/PeerService.h
+++ b/src/services/PeerService.h
@@ -2,10 +2,10 @@
  * Datagrams between boxes: sends and receives the messages of peer/Messages.h in the envelope of
  * peer/Envelope.h, and counts every byte, headers included.
  *
- * UDP through Asio rather than nng: a heartbeat or a permit is one small message to one of many
- * boxes, needs no connection, and its loss is made good by the next one. docs/design/transport.md
- * has the figures of both. Settings, which are long and must arrive whole, go through nng: see
- * SettingsExchange.h.
+ * UDP through Asio is used rather than nng: a heartbeat or a permit message is small, goes to one
+ * of many boxes and needs no connection, and the next message makes up for a lost one.
+ * docs/design/transport.md compares the measured costs of both. Settings are long and must arrive
+ * whole, so they go through nng; see SettingsExchange.h.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace limereel::services {
 
-/** The socket. */
+/** The UDP socket for messages between boxes. */
 class PeerService : public kernel::Service
 {
 public:
@@ -33,21 +33,23 @@
     void start() override;
     void stop() override;
 
-    /** Adds a receiver; each gets every message that verifies. */
+    /** Adds a receiver. Every receiver gets every message that passes authentication. */
     void onMessage(Receive receive) { receivers_.push_back(std::move(receive)); }
 
-    /** Sets a hook that may drop what is sent or received; tests cut boxes off with it. */
+    /** Sets a filter: datagrams to or from \a other are dropped if it returns false. Tests use it
+     * to simulate network partitions. */
     void setFilter(std::function<bool(const kernel::Endpoint &other)> passes)
     {
         passes_ = std::move(passes);
     }
 
-    /** Sends \a message. Nothing tells whether it arrives. */
+    /** Sends \a message without waiting for an acknowledgement; it may be lost. */
     void send(const kernel::Endpoint &to, const peer::Message &message);
 
-    /** Lets the loop read what lies unread in the socket, until \a enough holds or nothing is left.
-     * To be awaited before a message that didn't come in time is given up: after a standstill of
-     * the loop the end of a wait may be handled ahead of it. */
+    /** Lets the event loop handle the datagrams that are already in the socket's buffer, until
+     * \a enough returns true or none is left. Await this before treating a wait for a message as
+     * timed out: after a stall of the event loop, the timeout may be handled before a message that
+     * arrived in time. */
     boost::asio::awaitable<void> readPending(std::function<bool()> enough);
 
 private:
--- a/src/services/PlatformService.cpp
+++ b/src/services/PlatformService.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A burst lets a box that starts read all it needs at once.
+// The burst lets a starting box read everything it needs at once.
 constexpr double ReadBurst = 20;
 constexpr double WriteBurst = 10;
 
@@ -46,7 +46,7 @@
         result.answer = StoreAnswer::Unavailable;
         break;
     default:
-        // A server's failure says nothing of whether the write took effect.
+        // A server error doesn't tell whether a write took effect.
         result.answer = answer.status >= 500 ? StoreAnswer::Lost : StoreAnswer::Unavailable;
         break;
     }
--- a/src/services/PlatformService.h
+++ b/src/services/PlatformService.h
@@ -1,9 +1,9 @@
 /** \file
  * The client of the platform's object API. docs/interfaces/platform.md says what it may rely on.
  *
- * Every call comes out of this router's part of the platform's rates. An answer that was lost is
- * told apart from a call that surely had no effect, since only the caller of the call can find out
- * which it was.
+ * Every call counts against this router's share of the platform's rate limits. A call whose answer
+ * was lost, and which may have taken effect, is reported differently from a call that certainly had
+ * no effect, since only the code that made the call can find out whether a write took effect.
  */
 #pragma once
 
@@ -20,16 +20,16 @@
 
 namespace limereel::services {
 
-/** What a call on the platform came to. */
+/** The result of a call to the platform. */
 struct StoreResult
 {
     outcome::StoreAnswer answer = outcome::StoreAnswer::Unavailable;
-    std::uint64_t version = 0; ///< Of the object, as read or as written.
-    std::string value;         ///< As read.
-    bool unchanged = false;    ///< Of a watch that ended without a change.
+    std::uint64_t version = 0; ///< Version of the object as read or written.
+    std::string value;         ///< The object's content as read.
+    bool unchanged = false;    ///< The object still has the version that was given.
 };
 
-/** The client. */
+/** The platform's client. */
 class PlatformService : public kernel::Service
 {
 public:
@@ -42,11 +42,11 @@
     /** Reads \a object, such as "settings/tree". */
     boost::asio::awaitable<StoreResult> get(std::string object);
 
-    /** Waits until \a object is no longer at \a version, at most the watch timeout, and reads it.
-     */
+    /** Waits until \a object is no longer at \a version, for at most the watch timeout, and reads
+     * it. */
     boost::asio::awaitable<StoreResult> watch(std::string object, std::uint64_t version);
 
-    /** Writes \a value if \a object is at \a version; 0: if there is none. */
+    /** Writes \a value if \a object is at \a version; version 0 means that it doesn't exist yet. */
     boost::asio::awaitable<StoreResult> put(std::string object, std::uint64_t version,
                                             std::string value);
 
@@ -59,7 +59,7 @@
     /** Reads the names of all halls. */
     boost::asio::awaitable<StoreResult> halls();
 
-    /** Sets this router's part of the rates from the size of the fleet. */
+    /** Sets this router's share of the platform's rate limits for a fleet of \a routers. */
     void setFleetSize(std::size_t routers);
 
     /** Whether the last call was answered. */
--- a/src/services/ProcessIdentity.cpp
+++ b/src/services/ProcessIdentity.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// A box keeps nothing, so what tells this process from the one before it is the time of its start.
-// One whose clock was set back learns so from the others, which still speak of the earlier process
-// (MembershipService).
+// A box has no persistent storage, so its start time is its incarnation number. If the clock was
+// set back, the box learns that from the other boxes, whose heartbeats still name the incarnation
+// of the earlier process; see MembershipService.
 std::uint64_t incarnationNow()
 {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
--- a/src/services/ProcessIdentity.h
+++ b/src/services/ProcessIdentity.h
@@ -1,5 +1,6 @@
 /** \file
- * What tells one process of a box from the one before it, and its chance.
+ * Sets the incarnation number, which distinguishes a process of a box from earlier ones, and seeds
+ * the random number generator.
  */
 #pragma once
 
@@ -7,8 +8,8 @@
 
 namespace limereel::services {
 
-/** Gives \a context its incarnation and its chance: from the settings' seed, else from the system.
- */
+/** Sets the incarnation of \a context and seeds its random number generator, from the settings'
+ * seed if there is one, else from the system. */
 void identifyProcess(Context &context);
 
 } // namespace limereel::services
--- a/src/services/Router.cpp
+++ b/src/services/Router.cpp
@@ -36,7 +36,7 @@
     return Log;
 }
 
-// Boxes of the own hall, as the platform lists them.
+// Returns a source of the boxes in this box's hall, as the platform lists them.
 Acquaintance acquaintanceOf(Context &context)
 {
     Acquaintance acquaintance;
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -33,7 +33,7 @@
     return method == "GET" || method == "HEAD";
 }
 
-/** The path "/v1/services/NAME/rest?query" taken apart. */
+/** The parts of the path "/v1/services/NAME/rest?query". */
 struct Target
 {
     std::string service;
@@ -53,7 +53,7 @@
 
 } // namespace
 
-/** One call on its way. */
+/** Serves one call to a plain service. */
 class ServiceHandler::Run
 {
 public:
@@ -142,14 +142,15 @@
         if (!failed) {
             co_return;
         }
-        // Released before the caller is told, so that it can ask again under the same key at once.
+        // Released before the answer is sent, so that the caller can retry under the same key at
+        // once.
         if (keyed && failed->verdict.ran == outcome::Ran::NotRun) {
             co_await context_.kernel.find<ClaimService>("claims").release(claim);
         }
         co_await refuse(*failed);
     }
 
-    // Nothing: an answer was sent.
+    // Returns nothing if an answer was sent, else the refusal to send.
     asio::awaitable<std::optional<Refusal>> attempts()
     {
         for (int number = 1;; ++number) {
@@ -185,7 +186,8 @@
         }
     }
 
-    // The runner with the fewest calls of this router, ties by chance.
+    // Chooses the runner with the fewest calls in flight from this router; ties are broken at
+    // random.
     std::optional<store::ListedBackend> choose()
     {
         auto runners =
@@ -262,7 +264,8 @@
                                                          : std::optional(Point::AnswerForeign);
     }
 
-    // A runner has no life of its own in the list: one that ends twice counts once.
+    // The platform's list has no incarnation of a runner, so the hash of its name stands in for it:
+    // a runner that crashes twice counts once.
     asio::awaitable<void> noteEnd(const store::ListedBackend &runner, std::optional<Point> failure)
     {
         AttemptServer server;
@@ -315,7 +318,7 @@
     std::string key_;
     bool repeatable_ = false;
     std::set<std::uint64_t> excluded_;
-    bool someRest_ = false; ///< Of the runners, at the last choice.
+    bool someRest_ = false; ///< Whether a runner was in backoff when one was last chosen.
     outcome::Story story_;
 };
 
--- a/src/services/ServiceHandler.h
+++ b/src/services/ServiceHandler.h
@@ -1,6 +1,6 @@
 /** \file
- * Serves calls to plain services: chooses a runner, keeps calls that may not be repeated to one
- * run.
+ * Serves calls to plain services: chooses a runner (a backend server of the service), and makes
+ * sure that a call that may not be repeated runs at most once.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace limereel::services {
 
-/** The handler of /v1/services/NAME/... */
+/** Handles /v1/services/NAME/... */
 class ServiceHandler
 {
 public:
@@ -25,7 +25,7 @@
     {
     }
 
-    /** Serves \a request of \a organisation under the id \a requestId. */
+    /** Serves \a request of \a organisation. \a requestId is returned in the answer. */
     boost::asio::awaitable<void> handle(http::Request request, http::Reply &reply,
                                         config::OrganisationSettings organisation,
                                         std::string requestId);
@@ -35,7 +35,8 @@
 
     Context &context_;
     outcome::RetryBudget &budget_;
-    std::unordered_map<std::uint64_t, int> inFlight_; ///< By runner, of this router only.
+    std::unordered_map<std::uint64_t, int>
+            inFlight_; ///< Calls in flight from this router, by the hash of the runner's name.
 };
 
 } // namespace limereel::services
--- a/src/services/SettingsExchange.cpp
+++ b/src/services/SettingsExchange.cpp
@@ -46,7 +46,8 @@
     return message;
 }
 
-/** Owns what one ask needs; freed on the event loop, never in nng's own callback. */
+/** The state of one request to another box. Destroyed on the event loop, never in nng's callback.
+ */
 struct Ask
 {
     Ask(asio::io_context &context, std::vector<peer::PeerKey> peerKeys)
@@ -71,11 +72,11 @@
     nng_aio *aio = nullptr;
     bool sent = false;
     std::optional<std::string> answer;
-    std::shared_ptr<Ask> self; ///< Keeps it alive while nng works for it.
+    std::shared_ptr<Ask> self; ///< Keeps the state alive while nng uses it.
 };
 
-// Runs in a thread of nng: the answer to a send starts the receive, the answer to that ends the
-// ask.
+// Runs in a thread of nng when a send or a receive completes: after the send it starts the receive,
+// after the receive it completes the request.
 void onAsk(void *argument)
 {
     auto *const ask = static_cast<Ask *>(argument);
@@ -123,7 +124,7 @@
         nng_recv_aio(socket, aio);
     }
 
-    // Runs in a thread of nng: one request at a time, answered on the event loop.
+    // Runs in a thread of nng. Requests are handled one at a time and answered on the event loop.
     static void onEvent(void *argument)
     {
         auto *const listener = static_cast<Listener *>(argument);
--- a/src/services/SettingsExchange.h
+++ b/src/services/SettingsExchange.h
@@ -1,11 +1,10 @@
 /** \file
- * Settings from box to box: a box that sees in a heartbeat that another one is ahead asks it for
- * what is missing, and is given the updates since its own revision, or the whole tree.
+ * Transfers settings between boxes. A box that sees in a heartbeat that another box has a newer
+ * revision asks it for the updates since its own revision, and gets those or the whole tree.
  *
- * A tree may be as long as a megabyte and must arrive whole, so this goes over nng's request and
- * reply on TCP, at the same port number as the datagrams. nng runs threads of its own; whatever it
- * delivers is handed to the event loop. Only nng's transport is used, nothing of its discovery or
- * devices.
+ * A tree may have up to a megabyte and must arrive whole, so this uses nng's request/reply protocol
+ * over TCP, at the same port number as the datagrams. nng runs its own threads; whatever it
+ * delivers is posted to the event loop. Only nng's transport is used, not its discovery or devices.
  */
 #pragma once
 
@@ -20,20 +19,21 @@
 
 namespace limereel::services {
 
-/** Answers a request (a text) with a text. */
+/** Computes the answer to a request of another box. */
 using AnswerRequest = std::function<std::string(const std::string &request)>;
 
-/** The answering side. */
+/** Answers other boxes' requests and sends requests to them. */
 class SettingsExchange
 {
 public:
-    /** Listens; throws std::runtime_error if it can't. */
+    /** Starts listening at the box's peer address; throws std::runtime_error if that fails. */
     SettingsExchange(Context &context, AnswerRequest answer);
     ~SettingsExchange();
     SettingsExchange(const SettingsExchange &) = delete;
     SettingsExchange &operator=(const SettingsExchange &) = delete;
 
-    /** Asks the box at \a where; nothing if it doesn't answer in time. */
+    /** Sends \a request to the box at \a where. \return its answer, or nothing if the box doesn't
+     * answer in time. */
     boost::asio::awaitable<std::optional<std::string>> ask(kernel::Endpoint where,
                                                            std::string request);
 
--- a/src/services/StopDeadline.cpp
+++ b/src/services/StopDeadline.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A look that comes after so many times its pause tells of a standstill.
+// A poll that comes this many poll intervals or more after the last one indicates a stall.
 constexpr int StandstillLooks = 3;
 
 } // namespace
--- a/src/services/StopDeadline.h
+++ b/src/services/StopDeadline.h
@@ -1,10 +1,10 @@
 /** \file
- * When a planned stop cuts what still runs: at its end, but not before what arrived while the
- * process stood still was handled.
+ * Decides when a planned stop aborts the requests that still run: at the stop's deadline, or
+ * shortly after it if the process stalled.
  *
- * A stop looks again and again whether everything is finished. If the process stands still past the
- * end, requests and answers that came in time lie unread when the next look is made. They get one
- * short respite; more would pass the end that the platform keeps itself.
+ * A stop polls whether all requests are finished. If the process stalls past the deadline, requests
+ * and answers that arrived in time are still unread at the next poll. The deadline is therefore
+ * extended once, by a short time; extending it more often would exceed the platform's own deadline.
  */
 #pragma once
 
@@ -12,16 +12,16 @@
 
 namespace limereel::services {
 
-/** The times of a stop. */
+/** The schedule of a planned stop. */
 struct StopSchedule
 {
-    kernel::Instant start;                ///< When the first look was due.
-    kernel::Instant deadline;             ///< What runs then is cut.
-    kernel::Duration pollInterval{};      ///< Between two looks.
-    kernel::Duration deadlineExtension{}; ///< After a standstill that passes the end.
+    kernel::Instant start;                ///< When polling began; counts as the first poll.
+    kernel::Instant deadline;             ///< When the remaining requests are aborted.
+    kernel::Duration pollInterval{};      ///< Time between two polls.
+    kernel::Duration deadlineExtension{}; ///< Least time left after a stall; granted once.
 };
 
-/** The end of one stop. Pure: time is handed in. */
+/** The deadline of one planned stop. Reads no clock: the caller passes the time. */
 class StopDeadline
 {
 public:
@@ -31,12 +31,12 @@
     {
     }
 
-    /** Whether what still runs at a look at \a now is cut. */
+    /** Records a poll at \a now. \return whether the remaining requests are to be aborted. */
     bool expired(kernel::Instant now);
 
 private:
     StopSchedule times_;
-    kernel::Instant looked_; ///< The last look.
+    kernel::Instant looked_; ///< Time of the last poll.
     bool respited_ = false;
 };
 
--- a/src/services/StopService.cpp
+++ b/src/services/StopService.cpp
@@ -16,8 +16,8 @@
 
 constexpr kernel::Duration LookEvery = 50ms;
 constexpr int FarewellBeats =
-        3; ///< Heartbeats that say that the box leaves, before it may be gone.
-// What came in a standstill is read and answered in some turns of the loop.
+        3; ///< Heartbeats that announce that the box is leaving, before it may exit.
+// Requests that arrived during a stall are read and answered within a few iterations of the loop.
 constexpr kernel::Duration Respite = 200ms;
 
 const kernel::Log &log()
@@ -57,15 +57,16 @@
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     caller.drain();
     StopDeadline end({began + first, began + context_.settings.stopDeadline, LookEvery, Respite});
-    // A turn of the loop first: a connection may be on its way from the listener to its first read.
+    // Waits once before the first check: an accepted connection may not have started its first
+    // read.
     do {
         timer.expires_after(LookEvery);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     } while (caller.active() > 0 && !end.expired(context_.now()));
     const std::size_t cut = caller.active();
     if (cut > 0) {
-        log().error("The deadline of the planned stop has come; " + std::to_string(cut)
-                    + " requests are cut.");
+        log().error("The deadline of the planned stop has passed; " + std::to_string(cut)
+                    + " requests are aborted.");
     }
     log().info("The planned stop is done.");
     done_();
--- a/src/services/StopService.h
+++ b/src/services/StopService.h
@@ -1,10 +1,10 @@
 /** \file
- * The planned stop of a box, which cuts no request.
+ * The planned stop of a box, which lets running requests finish.
  *
- * First the box says that it isn't ready and that it leaves: the balancer turns away, and what the
- * box owned passes to others. New connections are still served until the balancer's lag has passed.
- * Then no more are taken, what runs is finished, and the process ends. Only the platform's own
- * deadline cuts.
+ * First the box reports that it isn't ready and that it is leaving: the load balancer stops sending
+ * requests, and other boxes take over what this box owned. New connections are still served until
+ * the balancer's lag has passed. Then the box accepts no more connections, finishes the running
+ * requests, and the process ends. Requests are aborted only if they still run at the stop deadline.
  */
 #pragma once
 
@@ -19,14 +19,14 @@
 class StopService : public kernel::Service
 {
 public:
-    /** \param done called once everything has been finished. */
+    /** \param done called once the stop is complete. */
     StopService(Context &context, std::function<void()> done);
 
     std::string_view name() const override { return "stop"; }
     void start() override {}
     void stop() override {}
 
-    /** Begins the stop; a second call changes nothing. */
+    /** Begins the stop; further calls have no effect. */
     void leave();
     bool leaving() const { return leaving_; }
 
--- a/test/correctness/EndToEnd.cpp
+++ b/test/correctness/EndToEnd.cpp
@@ -1,5 +1,5 @@
-// The whole path in one process: caller, router, permit from the engine's owner, engine, answer
-// back.
+// The whole path of a request in one process: caller, router, permit from the engine's owner,
+// engine, answer.
 
 #include "support/Fleet.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Two routers, four engines, two runners of the calendar service in one hall. */
+/** One hall with two routers, four engines and two runners of the calendar service. */
 struct HallFixture
 {
     HallFixture()
--- a/test/correctness/FrontTest.cpp
+++ b/test/correctness/FrontTest.cpp
@@ -1,4 +1,4 @@
-// What callers get wrong, and the limits that keep slow or broken clients from holding a box.
+// Invalid requests of callers, and the limits that keep slow or faulty clients from tying up a box.
 
 #include "support/Fleet.h"
 
@@ -25,7 +25,7 @@
         fleet.start();
     }
 
-    /** Sends \a bytes as they are; \return all that comes back until the box closes. */
+    /** Sends \a bytes unchanged. \return all bytes received until the box closes the connection. */
     std::string raw(const std::string &bytes)
     {
         std::string received;
--- a/test/correctness/ProcessTest.cpp
+++ b/test/correctness/ProcessTest.cpp
@@ -1,4 +1,4 @@
-// Real processes that are killed, frozen and stopped: what a fleet in one process can't show.
+// Kills, pauses and stops real processes, which tests of a fleet within one process can't do.
 
 #include "support/Blocking.h"
 #include "support/Fleet.h"
@@ -83,7 +83,7 @@
                 body.dump()};
     }
 
-    /** Whether a chat at \a router is answered whole. */
+    /** Whether \a router answers a chat completely. */
     bool whole(std::size_t router, const std::string &id, int tokens = 5)
     {
         const auto answer = support::callBlocking(fleet.routers()[router].caller, chat(id, tokens));
@@ -92,7 +92,7 @@
                && answer->body.find("data: [DONE]") != std::string::npos;
     }
 
-    /** Runs the product's binary; \return its exit code and what it printed. */
+    /** Runs the limereel binary. \return its exit code and its output. */
     std::pair<int, std::string> command(const std::string &words) const
     {
         const std::string line = "LIMEREEL_KEY=" + support::OperatorKeyText + " " + LIMEREEL_BINARY
@@ -139,8 +139,8 @@
     support::waitFor([&] { return ready(1) && whole(1, "thawed"); }, "the thawed router serves");
 }
 
-// A signal has its effect only once the system has ended the process. Until the process has been
-// collected its listeners may still take a connection and a request, which nobody reads.
+// A signal takes effect only once the kernel has terminated the process. Until the process has been
+// reaped, its listening sockets may still accept a connection and a request that nothing reads.
 BOOST_AUTO_TEST_CASE(enginesAllKilledAndGone_requestsAreRefusedAsNotRun)
 {
     fleet.enginesProcess(0).signal(SIGKILL);
@@ -152,8 +152,8 @@
     BOOST_TEST(!answer->fields.get("Retry-After").empty());
 }
 
-// Asked without waiting: a request that an engine's listener took may have run for all that the
-// router knows, and that is what the caller must hear.
+// Sends a request without waiting for the engines to terminate. If an engine's socket accepted the
+// request, the router can't know whether it ran, and must report exactly that to the caller.
 BOOST_AUTO_TEST_CASE(enginesBeingKilled_requestIsServedNeverAndToldTruly)
 {
     fleet.enginesProcess(0).signal(SIGKILL);
--- a/test/correctness/SettingsFlowTest.cpp
+++ b/test/correctness/SettingsFlowTest.cpp
@@ -1,5 +1,5 @@
-// Settings from operator to box: in force everywhere, never backwards, whatever the platform does
-// meanwhile.
+// Settings updates by operators take effect on all boxes and are never reverted, whatever faults
+// the platform has meanwhile.
 
 #include "services/ConfigService.h"
 #include "support/Fleet.h"
@@ -164,7 +164,7 @@
     BOOST_TEST(fleet.until([this] { return allAt(2); }));
     fleet.kill(1);
     fleet.platform().faults.down = true;
-    // It knows its neighbours from its own settings, as the platform can't tell it.
+    // The router finds its peers through its own settings, as the platform can't be reached.
     auto &peers = fleet.settingsOf(1).knownBoxes;
     peers.push_back({fleet.settingsOf(0).box, fleet.settingsOf(0).peer});
     fleet.revive(1);
--- a/test/correctness/StopDeadlineTest.cpp
+++ b/test/correctness/StopDeadlineTest.cpp
@@ -1,4 +1,4 @@
-// When a planned stop cuts what still runs.
+// The time at which a planned stop aborts the requests that still run.
 
 #include "services/StopDeadline.h"
 
@@ -14,7 +14,7 @@
 constexpr kernel::Duration LookEvery = 20ms;
 constexpr kernel::Duration Respite = 200ms;
 
-/** A stop that was looked at in time until \a awakeUntil. */
+/** A stop that was polled without a stall until \a awakeUntil. */
 services::StopDeadline lookedAtUntil(Instant awakeUntil)
 {
     services::StopDeadline end({Begun, End, LookEvery, Respite});
