--- a/src/services/CallerService.cpp
+++ b/src/services/CallerService.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr double RetryBudgetCap = 20;
-constexpr kernel::Duration ComeBackWhenConfigured = 2s;
+constexpr kernel::Duration RetryDelayWithoutSettings = 2s;
 
 const kernel::Log &log()
 {
@@ -130,7 +130,7 @@
         refusal = refusalOf(ResultCode::UnknownPath, "there is no " + request.method + " " + path);
     } else if (!context_.kernel.find<ConfigService>("config").ready()) {
         refusal = refusalOf(ResultCode::NoConfiguration, "the box has no settings yet",
-                            ComeBackWhenConfigured);
+                            RetryDelayWithoutSettings);
     }
     if (refusal) {
         context_.counters.add("results",
--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -25,16 +25,16 @@
 
 namespace {
 
-constexpr int MostAttempts = 4;
+constexpr int MaxAttempts = 4;
 constexpr const char *ChatTarget = "chat";
-constexpr const char *AllRest = "the engines that could take it have asked for rest";
+constexpr const char *AllInBackoff = "the engines that could take it have asked for rest";
 
 std::string dump(const json &value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::string hexOf(std::uint64_t value)
+std::string toHex(std::uint64_t value)
 {
     std::array<char, 17> text{};
     std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
@@ -54,7 +54,7 @@
         , reply_(reply)
         , organisation_(std::move(organisation))
         , id_(std::move(id))
-        , begun_(context_.now())
+        , startedAt_(context_.now())
         , guard_(context_)
     {
     }
@@ -79,7 +79,7 @@
             co_return;
         }
         handler_.budget_.earn();
-        co_await attempts();
+        co_await runAttempts();
         permits.giveBack(*quota, peer::Observed::Served);
     }
 
@@ -108,12 +108,12 @@
                          .target = ChatTarget,
                          .body = chat_.engineBody});
         if (const auto token = request.fields.get("X-Chat-Token"); !token.empty()) {
-            takeToken(token);
+            applyToken(token);
         }
         return std::nullopt;
     }
 
-    void takeToken(std::string_view token)
+    void applyToken(std::string_view token)
     {
         const auto holder = routing::readChatToken(token, need_.chat, handler_.keys_);
         context_.counters.add("chat_tokens", {{"valid", holder ? "yes" : "no"}});
@@ -123,13 +123,15 @@
         }
     }
 
-    asio::awaitable<void> attempts()
+    asio::awaitable<void> runAttempts()
     {
         auto &permits = context_.kernel.find<PermitService>("permits");
         for (int number = 1;; ++number) {
-            const SendLeave leave = co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
-            if (!leave.granted()) {
-                co_await giveUp(refusalOf(codeOf(leave), whyNoLeave(leave), leave.comeBack));
+            const SendLeave permission =
+                    co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
+            if (!permission.granted()) {
+                co_await giveUp(
+                        refusalOf(codeOf(permission), whyNoLeave(permission), permission.comeBack));
                 co_return;
             }
             auto permit = co_await permits.acquireEngine(need_);
@@ -153,7 +155,8 @@
             // The boxes of another hall don't know which engines have asked this box to back off.
             if (context_.kernel.find<RestService>("rests").rests(permit_.life())) {
                 permits.giveBack(permit_, peer::Observed::Unused);
-                co_await giveUp(refusalOf(ResultCode::ServersRest, AllRest, ComeBackAfterFailure));
+                co_await giveUp(
+                        refusalOf(ResultCode::ServersRest, AllInBackoff, RetryDelayAfterFailure));
                 co_return;
             }
             const ChatOutcome outcome = co_await attempt(number);
@@ -167,11 +170,10 @@
             }
             const Verdict verdict =
                     outcome::judge(*outcome.failure, {chat_.repeatable, reply_.begun()});
-            story_.add(verdict);
-            const auto next =
-                    outcome::afterFailure(verdict, number, MostAttempts, handler_.budget_);
+            summary_.add(verdict);
+            const auto next = outcome::afterFailure(verdict, number, MaxAttempts, handler_.budget_);
             if (!next.again) {
-                Refusal failed{next.verdict, outcome.message, ComeBackAfterFailure};
+                Refusal failed{next.verdict, outcome.message, RetryDelayAfterFailure};
                 co_await giveUp(std::move(failed));
                 co_return;
             }
@@ -183,17 +185,17 @@
 
     asio::awaitable<ChatOutcome> attempt(int number)
     {
-        EngineRequest order{.request = id_ + "-" + std::to_string(number),
-                            .body = chat_.engineBody,
-                            .cacheKey = hexOf(need_.chat),
-                            .priority = organisation_.priority};
+        EngineRequest engineRequest{.request = id_ + "-" + std::to_string(number),
+                                    .body = chat_.engineBody,
+                                    .cacheKey = toHex(need_.chat),
+                                    .priority = organisation_.priority};
         text_.clear();
         pending_.clear();
-        FrameSink caller{.deliver = [this](const answer::Frame &frame) { deliver(frame); },
-                         .flush = [this] { return flush(); },
-                         .disconnected = [this] { return callerGone(); }};
-        auto outcome =
-                co_await runChat(context_, permit_.backend, std::move(order), std::move(caller));
+        FrameSink sink{.deliver = [this](const answer::Frame &frame) { deliver(frame); },
+                       .flush = [this] { return flush(); },
+                       .disconnected = [this] { return callerDisconnected(); }};
+        auto outcome = co_await runChat(context_, permit_.backend, std::move(engineRequest),
+                                        std::move(sink));
         using peer::Observed;
         Observed observed = Observed::Served;
         if (outcome.failure == outcome::Point::BeforeConnect) {
@@ -203,18 +205,18 @@
         }
         context_.kernel.find<PermitService>("permits").giveBack(permit_, observed);
         context_.kernel.find<RestService>("rests").note(
-                permit_.life(), permit_.backend.backend.text(), outcome.rest);
-        co_await noteEnd(outcome);
+                permit_.life(), permit_.backend.backend.text(), outcome.backoff);
+        co_await recordAttempt(outcome);
         co_return outcome;
     }
 
-    asio::awaitable<void> noteEnd(const ChatOutcome &outcome)
+    asio::awaitable<void> recordAttempt(const ChatOutcome &outcome)
     {
-        AttemptSight sight = AttemptSight::Whole;
+        AttemptSight attemptResult = AttemptSight::Whole;
         if (outcome.callerLeft) {
-            sight = AttemptSight::Interrupted;
+            attemptResult = AttemptSight::Interrupted;
         } else if (outcome.failure) {
-            sight = sightOf(*outcome.failure);
+            attemptResult = sightOf(*outcome.failure);
         }
         AttemptServer server;
         server.id = permit_.backend.backend.text();
@@ -222,7 +224,7 @@
         if (const auto address = kernel::endpointFrom(permit_.backend.address)) {
             server.address = *address;
         }
-        co_await guard_.noteEnd(sight, std::move(server));
+        co_await guard_.noteEnd(attemptResult, std::move(server));
     }
 
     void deliver(const answer::Frame &frame)
@@ -230,7 +232,7 @@
         guard_.notePiece();
         if (frame.sequence == 0) {
             context_.counters.observe("first_token_seconds",
-                                      kernel::seconds(context_.now() - begun_));
+                                      kernel::seconds(context_.now() - startedAt_));
         }
         if (!chat_.stream) {
             text_ += frame.end ? "" : frame.text;
@@ -246,13 +248,13 @@
 
     // A write of a streamed answer fails if the caller has disconnected. An answer that is
     // collected writes nothing until its end, so the connection is checked from time to time.
-    bool callerGone()
+    bool callerDisconnected()
     {
-        constexpr kernel::Duration LookEvery = 200ms;
-        if (chat_.stream || context_.now() - looked_ < LookEvery) {
+        constexpr kernel::Duration CheckInterval = 200ms;
+        if (chat_.stream || context_.now() - connectionCheckedAt_ < CheckInterval) {
             return false;
         }
-        looked_ = context_.now();
+        connectionCheckedAt_ = context_.now();
         return reply_.clientGone();
     }
 
@@ -326,7 +328,7 @@
 
     asio::awaitable<void> giveUp(Refusal refusal)
     {
-        refusal.verdict = story_.tell(refusal.verdict);
+        refusal.verdict = summary_.tell(refusal.verdict);
         co_await refuse(refusal);
     }
 
@@ -348,21 +350,21 @@
                               {{"kind", "chat"}, {"code", std::string(outcome::info(code).name)}});
     }
 
-    static constexpr kernel::Duration ComeBackAfterFailure = 1s;
+    static constexpr kernel::Duration RetryDelayAfterFailure = 1s;
 
     ChatHandler &handler_;
     Context &context_;
     http::Reply &reply_;
     config::OrganisationSettings organisation_;
     std::string id_;
-    kernel::Instant begun_;
+    kernel::Instant startedAt_;
     CrashGuard guard_;
-    kernel::Instant looked_; ///< When the caller's connection was last checked.
+    kernel::Instant connectionCheckedAt_; ///< When the caller's connection was last checked.
     ChatRequest chat_;
     Need need_;
     bool spill_ = false;
     Permit permit_;
-    outcome::Story story_;
+    outcome::Story summary_;
     std::string text_;      ///< Text of an answer that isn't streamed.
     std::string pending_;   ///< Chunks that haven't been sent yet.
     std::string chunkHead_; ///< The common beginning of all chunks of the answer.
--- a/src/services/ChatRequest.cpp
+++ b/src/services/ChatRequest.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t MostChatIdBytes = 256;
-constexpr std::int64_t MostTokens = 1000000;
+constexpr std::size_t MaxChatIdBytes = 256;
+constexpr std::int64_t MaxTokens = 1000000;
 
 std::optional<std::string> problemOf(const json &body)
 {
@@ -26,9 +26,9 @@
         return "'messages' must be an array with at least one message";
     }
     for (const json &message : body["messages"]) {
-        const bool right = message.is_object() && message.contains("role")
-                           && message["role"].is_string() && message.contains("content");
-        if (!right) {
+        const bool wellFormed = message.is_object() && message.contains("role")
+                                && message["role"].is_string() && message.contains("content");
+        if (!wellFormed) {
             return "each of 'messages' must be an object with 'role' and 'content'";
         }
     }
@@ -37,8 +37,8 @@
     }
     if (body.contains("max_tokens")) {
         const json &tokens = body["max_tokens"];
-        if (!tokens.is_number_integer() || tokens < 1 || tokens > MostTokens) {
-            return "'max_tokens' must be an integer from 1 to " + std::to_string(MostTokens);
+        if (!tokens.is_number_integer() || tokens < 1 || tokens > MaxTokens) {
+            return "'max_tokens' must be an integer from 1 to " + std::to_string(MaxTokens);
         }
     }
     if (body.contains("prompt_cache_key") && !body["prompt_cache_key"].is_string()) {
@@ -49,7 +49,7 @@
 
 // If the caller names no chat, the messages up to and including the first user message identify it:
 // later turns of the chat repeat them.
-std::string beginningOf(const json &messages)
+std::string chatIdFromMessages(const json &messages)
 {
     std::string beginning;
     for (const json &message : messages) {
@@ -61,7 +61,7 @@
     return "begins-" + std::to_string(kernel::hashOf(beginning));
 }
 
-std::string chatOf(const http::Request &request, const json &body)
+std::string chatIdOf(const http::Request &request, const json &body)
 {
     if (const auto field = request.fields.get("X-Chat-Id"); !field.empty()) {
         return std::string(field);
@@ -69,7 +69,7 @@
     if (body.contains("prompt_cache_key")) {
         return body["prompt_cache_key"].get<std::string>();
     }
-    return beginningOf(body["messages"]);
+    return chatIdFromMessages(body["messages"]);
 }
 
 } // namespace
@@ -85,12 +85,12 @@
         return tl::unexpected<std::string>("the field X-Repeatable must be yes or no");
     }
     ChatRequest chat{.model = body["model"].get<std::string>(),
-                     .chat = chatOf(request, body),
+                     .chat = chatIdOf(request, body),
                      .stream = body.value("stream", false),
                      .repeatable = repeatable != "no",
                      .engineBody = {}};
-    if (chat.chat.empty() || chat.chat.size() > MostChatIdBytes) {
-        return tl::unexpected("the chat's id must have 1 to " + std::to_string(MostChatIdBytes)
+    if (chat.chat.empty() || chat.chat.size() > MaxChatIdBytes) {
+        return tl::unexpected("the chat's id must have 1 to " + std::to_string(MaxChatIdBytes)
                               + " bytes");
     }
     body["stream"] = true;
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr std::size_t MostEventBytes = 65536;
-constexpr std::size_t MostEarlyFrames = 256;
+constexpr std::size_t MaxEventBytes = 65536;
+constexpr std::size_t MaxEarlyFrames = 256;
 constexpr kernel::Duration CancelTimeout = 1s;
 
 /** A frame as sent by the engine, with the field that isn't part of the answer itself. */
@@ -28,7 +28,7 @@
     std::uint32_t cachedTokens = 0;
 };
 
-std::optional<WireFrame> frameFrom(const std::string &text)
+std::optional<WireFrame> parseFrame(const std::string &text)
 {
     const json object = json::parse(text, nullptr, false);
     if (!object.is_object()) {
@@ -51,12 +51,13 @@
 class Attempt
 {
 public:
-    Attempt(Context &context, store::ListedBackend engine, EngineRequest order, FrameSink caller)
+    Attempt(Context &context, store::ListedBackend engine, EngineRequest engineRequest,
+            FrameSink sink)
         : context_(context)
         , engine_(std::move(engine))
-        , order_(std::move(order))
-        , caller_(std::move(caller))
-        , check_(order_.request, MostEarlyFrames)
+        , engineRequest_(std::move(engineRequest))
+        , sink_(std::move(sink))
+        , check_(engineRequest_.request, MaxEarlyFrames)
     {
     }
 
@@ -68,7 +69,7 @@
             co_return outcome_;
         }
         endpoint_ = *endpoint;
-        co_await first();
+        co_await startGeneration();
         for (std::uint32_t tries = 0; mayResume() && tries < context_.settings.resumes; ++tries) {
             context_.counters.add("retries", {{"reason", "stream-resumed"}});
             co_await resume();
@@ -80,15 +81,15 @@
     }
 
 private:
-    asio::awaitable<void> first()
+    asio::awaitable<void> startGeneration()
     {
         http::Request request{"POST", "/v1/generate",
                               http::Fields()
                                       .with("Content-Type", "application/json")
-                                      .with("X-Request-Id", order_.request)
-                                      .with("X-Cache-Key", order_.cacheKey)
-                                      .with("X-Priority", std::to_string(order_.priority)),
-                              order_.body};
+                                      .with("X-Request-Id", engineRequest_.request)
+                                      .with("X-Cache-Key", engineRequest_.cacheKey)
+                                      .with("X-Priority", std::to_string(engineRequest_.priority)),
+                              engineRequest_.body};
         auto stream =
                 co_await http::Stream::open(context_.io, endpoint_, std::move(request), timeouts());
         if (!stream) {
@@ -105,12 +106,12 @@
     asio::awaitable<void> resume()
     {
         const std::string target =
-                "/v1/generate/" + order_.request + "?from=" + std::to_string(check_.next());
+                "/v1/generate/" + engineRequest_.request + "?from=" + std::to_string(check_.next());
         auto stream = co_await http::Stream::open(context_.io, endpoint_, {"GET", target, {}, {}},
                                                   timeouts());
         if (!stream || stream->status() != 200) {
             // An engine that can't be reached or no longer knows the request can't resume it.
-            lost_ = stream.has_value() || stream.error().point == Point::BeforeConnect;
+            unresumable_ = stream.has_value() || stream.error().point == Point::BeforeConnect;
             co_return;
         }
         co_await readAll(*stream);
@@ -118,8 +119,8 @@
 
     asio::awaitable<void> readAll(http::Stream &stream)
     {
-        answer::EventSplitter splitter(MostEventBytes);
-        begun_ = true;
+        answer::EventSplitter splitter(MaxEventBytes);
+        streamStarted_ = true;
         outcome_.failure.reset();
         while (!check_.whole() && !outcome_.callerLeft && !outcome_.failure) {
             const auto part = co_await stream.read();
@@ -131,27 +132,27 @@
             std::vector<std::string> events;
             if (!splitter.take(*part, events)) {
                 fail(Point::AnswerBegun, "the engine sent an event that is too long");
-                lost_ = true;
+                unresumable_ = true;
                 co_return;
             }
             for (const std::string &event : events) {
                 takeEvent(event);
             }
-            const bool flushed = co_await caller_.flush();
-            outcome_.callerLeft = !flushed || caller_.disconnected();
+            const bool flushed = co_await sink_.flush();
+            outcome_.callerLeft = !flushed || sink_.disconnected();
         }
     }
 
     void takeEvent(const std::string &event)
     {
-        auto wire = frameFrom(event);
+        auto wire = parseFrame(event);
         if (!wire) {
             fail(Point::AnswerBegun, "the engine sent a frame that can't be read");
             return;
         }
         outcome_.cachedTokens = std::max(outcome_.cachedTokens, wire->cachedTokens);
-        std::vector<Frame> due;
-        switch (check_.take(std::move(wire->frame), due)) {
+        std::vector<Frame> inOrder;
+        switch (check_.take(std::move(wire->frame), inOrder)) {
         case FrameResult::Foreign:
             // It is dropped. A frame of this request that is missing shows as a gap in the
             // sequence.
@@ -163,18 +164,18 @@
         case FrameResult::Overflow:
         case FrameResult::Contradiction:
             fail(Point::AnswerBegun, "the engine's frames contradict each other");
-            lost_ = true;
+            unresumable_ = true;
             break;
         case FrameResult::Taken:
         case FrameResult::Held:
             break;
         }
-        for (const Frame &frame : due) {
+        for (const Frame &frame : inOrder) {
             ++outcome_.frames;
             if (frame.end) {
                 outcome_.endReason = frame.text;
             }
-            caller_.deliver(frame);
+            sink_.deliver(frame);
         }
     }
 
@@ -182,7 +183,7 @@
     {
         const std::string why = stream.field("X-Not-Started");
         outcome_.leaving = why == "leaving";
-        outcome_.rest = restAsked(stream.status(), stream.fields());
+        outcome_.backoff = restAsked(stream.status(), stream.fields());
         const Point point = why.empty() ? Point::AnsweredFailure : Point::RefusedUnstarted;
         fail(point, "the engine answered " + std::to_string(stream.status())
                             + (why.empty() ? "" : ", not started: " + why));
@@ -191,23 +192,23 @@
     asio::awaitable<void> cancel()
     {
         context_.counters.add("cancels");
-        http::Request request{"DELETE", "/v1/generate/" + order_.request, {}, {}};
-        const http::CallTimeouts quick{CancelTimeout, CancelTimeout, CancelTimeout};
-        co_await http::call(context_.io, endpoint_, std::move(request), quick);
+        http::Request request{"DELETE", "/v1/generate/" + engineRequest_.request, {}, {}};
+        const http::CallTimeouts shortTimeouts{CancelTimeout, CancelTimeout, CancelTimeout};
+        co_await http::call(context_.io, endpoint_, std::move(request), shortTimeouts);
     }
 
     bool mayResume() const
     {
         const bool broken = outcome_.failure == Point::AnswerBegun;
-        return broken && begun_ && !lost_ && !outcome_.callerLeft;
+        return broken && streamStarted_ && !unresumable_ && !outcome_.callerLeft;
     }
 
     http::CallTimeouts timeouts() const
     {
         return {.connect = context_.settings.connectTimeout,
                 .head = context_.settings.firstTokenTimeout,
-                .part = begun_ ? context_.settings.tokenTimeout
-                               : context_.settings.firstTokenTimeout};
+                .part = streamStarted_ ? context_.settings.tokenTimeout
+                                       : context_.settings.firstTokenTimeout};
     }
 
     void fail(Point point, std::string message)
@@ -218,21 +219,21 @@
 
     Context &context_;
     store::ListedBackend engine_;
-    EngineRequest order_;
-    FrameSink caller_;
+    EngineRequest engineRequest_;
+    FrameSink sink_;
     answer::FrameCheck check_;
     kernel::Endpoint endpoint_;
     ChatOutcome outcome_;
-    bool begun_ = false;
-    bool lost_ = false; ///< Whether the stream can't be resumed.
+    bool streamStarted_ = false;
+    bool unresumable_ = false; ///< Whether the stream can't be resumed.
 };
 
 } // namespace
 
 asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine,
-                                     EngineRequest order, FrameSink caller)
+                                     EngineRequest engineRequest, FrameSink sink)
 {
-    Attempt attempt(context, std::move(engine), std::move(order), std::move(caller));
+    Attempt attempt(context, std::move(engine), std::move(engineRequest), std::move(sink));
     co_return co_await attempt.run();
 }
 
--- a/src/services/ChatRun.h
+++ b/src/services/ChatRun.h
@@ -34,7 +34,7 @@
 {
     std::optional<outcome::Point> failure; ///< Empty if the answer is complete.
     bool leaving = false;                  ///< The engine refused because it is leaving.
-    http::RetryAfter rest; ///< The Retry-After advice of the engine's refusal, if any.
+    http::RetryAfter backoff; ///< The Retry-After advice of the engine's refusal, if any.
     bool callerLeft = false;
     std::string message;
     std::size_t frames = 0;
@@ -51,8 +51,8 @@
     std::function<bool()> disconnected; ///< Whether the caller is known to have disconnected.
 };
 
-/** Runs \a order on \a engine. Frames that arrived in one read are flushed together. */
+/** Runs \a engineRequest on \a engine. Frames that arrived in one read are flushed together. */
 boost::asio::awaitable<ChatOutcome> runChat(Context &context, store::ListedBackend engine,
-                                            EngineRequest order, FrameSink caller);
+                                            EngineRequest engineRequest, FrameSink sink);
 
 } // namespace limereel::services
--- a/src/services/ConfigService.cpp
+++ b/src/services/ConfigService.cpp
@@ -25,9 +25,9 @@
 namespace {
 
 const std::string TreeObject = "settings/tree";
-constexpr kernel::Duration FirstBackoff = 250ms;
-constexpr kernel::Duration LongestBackoff = 5s;
-constexpr int UpdateTries = 6;
+constexpr kernel::Duration InitialBackoff = 250ms;
+constexpr kernel::Duration MaxBackoff = 5s;
+constexpr int MaxUpdateTries = 6;
 
 const kernel::Log &log()
 {
@@ -76,7 +76,7 @@
 
 ConfigService::ConfigService(Context &context)
     : context_(context)
-    , backoff_(FirstBackoff, LongestBackoff)
+    , backoff_(InitialBackoff, MaxBackoff)
 {
 }
 
@@ -116,7 +116,7 @@
     }
     auto &platform = context_.kernel.find<PlatformService>("platform");
     StoreResult result;
-    if (everRead_ && ready()) {
+    if (hasRead_ && ready()) {
         result = co_await platform.watch(TreeObject, seenVersion_);
     } else {
         result = co_await platform.get(TreeObject);
@@ -126,7 +126,7 @@
         co_return backoff_.fail(context_.random);
     }
     backoff_.succeed();
-    everRead_ = true;
+    hasRead_ = true;
     if (!result.unchanged) {
         seenVersion_ = read->version;
         const std::uint64_t revision = read->tree.revision;
@@ -137,7 +137,7 @@
             co_await repair(read->version);
         }
         if (read->version == 0 && !ready()) {
-            co_return FirstBackoff * 2;
+            co_return InitialBackoff * 2;
         }
     }
     co_await writeStatus();
@@ -164,7 +164,7 @@
     context_.counters.add("settings_fetches");
     const auto text = co_await exchange_->ask(*where, std::to_string(installed_.revision()));
     if (text) {
-        takeAnswer(*text, membership.nameOf(ahead.front()));
+        applyAnswer(*text, membership.nameOf(ahead.front()));
     }
     co_return context_.settings.heartbeatPeriod;
 }
@@ -187,7 +187,7 @@
 asio::awaitable<void> ConfigService::writeStatus()
 {
     const auto revisions = hallRevisions();
-    if (revisions == statusWritten_ || !isWatcher()) {
+    if (revisions == writtenStatus_ || !isWatcher()) {
         co_return;
     }
     auto &platform = context_.kernel.find<PlatformService>("platform");
@@ -198,7 +198,7 @@
     }
     const StoreResult written = co_await platform.put(object, old.version, json(revisions).dump());
     if (written.answer == StoreAnswer::Done) {
-        statusWritten_ = revisions;
+        writtenStatus_ = revisions;
     }
 }
 
@@ -215,10 +215,10 @@
 
 void ConfigService::offer(Tree tree, const std::string &source)
 {
-    note(installed_.offer(std::move(tree)), source);
+    handleOfferResult(installed_.offer(std::move(tree)), source);
 }
 
-void ConfigService::note(OfferResult result, const std::string &source)
+void ConfigService::handleOfferResult(OfferResult result, const std::string &source)
 {
     context_.counters.add("settings_offers", {{"result", config::text(result)}});
     switch (result) {
@@ -259,7 +259,7 @@
     return json{{"updates", config::toJson(*updates)}, {"digest", config::digestOf(tree)}}.dump();
 }
 
-void ConfigService::takeAnswer(const std::string &text, const std::string &source)
+void ConfigService::applyAnswer(const std::string &text, const std::string &source)
 {
     const json object = json::parse(text, nullptr, false);
     if (!object.is_object()) {
@@ -273,7 +273,9 @@
     }
     if (object.contains("updates") && object["updates"].is_string() && object.contains("digest")) {
         if (const auto updates = config::updatesFromJson(object["updates"].get<std::string>())) {
-            note(installed_.offerUpdates(*updates, object["digest"].get<std::uint64_t>()), source);
+            handleOfferResult(
+                    installed_.offerUpdates(*updates, object["digest"].get<std::uint64_t>()),
+                    source);
         }
     }
 }
@@ -289,7 +291,7 @@
     wanted.id = context_.settings.box.text() + "-" + std::to_string(context_.incarnation) + "-"
                 + std::to_string(context_.random());
     store::Backoff pause(50ms, 1s);
-    for (int tries = 0; tries < UpdateTries; ++tries) {
+    for (int tries = 0; tries < MaxUpdateTries; ++tries) {
         const auto result = co_await tryUpdate(wanted, base);
         if (result) {
             co_return *result;
--- a/src/services/ConfigService.h
+++ b/src/services/ConfigService.h
@@ -74,9 +74,9 @@
     boost::asio::awaitable<void> writeStatus();
     std::map<std::string, std::uint64_t> hallRevisions() const;
     void offer(config::Tree tree, const std::string &source);
-    void note(config::OfferResult result, const std::string &source);
+    void handleOfferResult(config::OfferResult result, const std::string &source);
     std::string answer(const std::string &request) const;
-    void takeAnswer(const std::string &text, const std::string &source);
+    void applyAnswer(const std::string &text, const std::string &source);
     boost::asio::awaitable<std::optional<tl::expected<std::uint64_t, UpdateRefusal>>>
     tryUpdate(const config::Update &wanted, std::uint64_t base);
 
@@ -85,8 +85,8 @@
     std::shared_ptr<const config::EffectiveSettings> effective_;
     std::uint64_t seenVersion_ =
             0; ///< Version of the platform's object when it was last read or written.
-    bool everRead_ = false;
-    std::map<std::string, std::uint64_t> statusWritten_;
+    bool hasRead_ = false;
+    std::map<std::string, std::uint64_t> writtenStatus_;
     store::Backoff backoff_;
     std::unique_ptr<SettingsExchange> exchange_;
     std::unique_ptr<Repeat> watchLoop_;
--- a/src/services/ConnectionLog.cpp
+++ b/src/services/ConnectionLog.cpp
@@ -15,7 +15,7 @@
     return Log;
 }
 
-bool mayHaveCostARequest(const http::ConnectionEnd &end)
+bool mayHaveLostRequest(const http::ConnectionEnd &end)
 {
     return end.lateLooks > 0 || end.unread == http::Arrived::Bytes
            || end.reason == http::EndReason::HeadLimit || end.reason == http::EndReason::CallerBroke
@@ -32,7 +32,7 @@
     if (end.lateLooks > 0) {
         counters.add("caller_late_looks", {}, end.lateLooks);
     }
-    if (mayHaveCostARequest(end)) {
+    if (mayHaveLostRequest(end)) {
         log().event("connection-ended",
                     {{"reason", reason},
                      {"unread", unread},
--- a/src/services/ControlService.cpp
+++ b/src/services/ControlService.cpp
@@ -145,9 +145,9 @@
                                                              std::string author)
 {
     const json body = http::parseBody(request.body);
-    const bool right = body.is_object() && body.contains("base")
-                       && body["base"].is_number_unsigned() && body.contains("changes");
-    auto changes = right ? config::changesFromJson(body["changes"].dump()) : std::nullopt;
+    const bool wellFormed = body.is_object() && body.contains("base")
+                            && body["base"].is_number_unsigned() && body.contains("changes");
+    auto changes = wellFormed ? config::changesFromJson(body["changes"].dump()) : std::nullopt;
     if (!changes || changes->empty()) {
         co_return problemAnswer(
                 400, "the body must be an object with 'base', a revision, and 'changes', "
@@ -240,9 +240,9 @@
         return {};
     }
     const auto &operators = context_.settings.operators;
-    const auto place =
+    const auto entry =
             std::ranges::find(operators, kernel::keyHash(key), &kernel::OperatorKey::hash);
-    return place == operators.end() ? std::string() : place->name;
+    return entry == operators.end() ? std::string() : entry->name;
 }
 
 } // namespace limereel::services
--- a/src/services/DirectoryService.cpp
+++ b/src/services/DirectoryService.cpp
@@ -14,9 +14,9 @@
 
 // Directory periods between two reads of the other halls' lists, which are needed only when a
 // request spills over to another hall.
-constexpr int OthersEvery = 20;
-constexpr kernel::Duration LongestBackoff = 15s;
-constexpr int DoubtsAtMost =
+constexpr int OtherHallsInterval = 20;
+constexpr kernel::Duration MaxBackoff = 15s;
+constexpr int MaxImplausibleReads =
         30; ///< Consecutive reads after which a list that lost most of the hall is accepted.
 
 const kernel::Log &log()
@@ -29,7 +29,7 @@
 
 DirectoryService::DirectoryService(Context &context)
     : context_(context)
-    , backoff_(context.settings.directoryPeriod, LongestBackoff)
+    , backoff_(context.settings.directoryPeriod, MaxBackoff)
 {
 }
 
@@ -46,10 +46,10 @@
 const store::ListedBackend *DirectoryService::findBackend(std::uint64_t hash) const
 {
     const auto find = [hash](const store::HallList &list) -> const store::ListedBackend * {
-        const auto place = std::ranges::find_if(list.backends, [hash](const auto &backend) {
+        const auto entry = std::ranges::find_if(list.backends, [hash](const auto &backend) {
             return backend.backend.hash() == hash;
         });
-        return place == list.backends.end() ? nullptr : &*place;
+        return entry == list.backends.end() ? nullptr : &*entry;
     };
     if (const auto *const own = find(own_.list); own != nullptr) {
         return own;
@@ -69,10 +69,11 @@
     }
     backoff_.succeed();
     const kernel::Instant now = context_.now();
-    if (!othersRead_ || now - *othersRead_ >= context_.settings.directoryPeriod * OthersEvery) {
-        othersRead_ = now;
+    if (!othersReadAt_
+        || now - *othersReadAt_ >= context_.settings.directoryPeriod * OtherHallsInterval) {
+        othersReadAt_ = now;
         co_await readOthers();
-        tellFleetSize();
+        updateFleetSize();
     }
     co_return context_.settings.directoryPeriod;
 }
@@ -92,15 +93,15 @@
         log().error("The platform's list of boxes can't be read; the last one stays in use.");
         co_return false;
     }
-    if (!store::plausible(own_.list, *list) && ++doubts_ < DoubtsAtMost) {
+    if (!store::plausible(own_.list, *list) && ++implausibleReads_ < MaxImplausibleReads) {
         context_.counters.add("directory_doubted");
-        if (doubts_ == 1) {
+        if (implausibleReads_ == 1) {
             log().warn("The platform's list has lost more than half of the backend servers; the "
                        "last one stays for a while.");
         }
         co_return true;
     }
-    doubts_ = 0;
+    implausibleReads_ = 0;
     own_ = {result.version, std::move(*list)};
     ++changes_;
     context_.counters.add("directory_changes");
@@ -135,7 +136,7 @@
     }
 }
 
-void DirectoryService::tellFleetSize()
+void DirectoryService::updateFleetSize()
 {
     std::size_t boxes = own_.list.boxes.size();
     for (const auto &[hall, list] : others_) {
--- a/src/services/DirectoryService.h
+++ b/src/services/DirectoryService.h
@@ -52,15 +52,15 @@
     boost::asio::awaitable<bool> readOwn();
     boost::asio::awaitable<void> readOthers();
     boost::asio::awaitable<void> readOther(std::string hall);
-    void tellFleetSize();
+    void updateFleetSize();
 
     Context &context_;
     Versioned own_;
     std::map<std::string, store::HallList> others_;
     std::map<std::string, std::uint64_t> otherVersions_;
     std::uint64_t changes_ = 0;
-    int doubts_ = 0; ///< Consecutive reads that returned an implausible list.
-    std::optional<kernel::Instant> othersRead_;
+    int implausibleReads_ = 0; ///< Consecutive reads that returned an implausible list.
+    std::optional<kernel::Instant> othersReadAt_;
     store::Backoff backoff_;
     std::unique_ptr<Repeat> loop_;
 };
--- a/src/services/LoopStallMonitor.cpp
+++ b/src/services/LoopStallMonitor.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Four checks a second cost next to nothing, and detect most stalls longer than a check interval.
-constexpr kernel::Duration TurnEvery = 250ms;
+constexpr kernel::Duration CheckInterval = 250ms;
 // The most urgent requests must be answered within 100 ms, so a stall of that length matters.
-constexpr kernel::Duration Standstill = 100ms;
+constexpr kernel::Duration StallThreshold = 100ms;
 
 const kernel::Log &log()
 {
@@ -24,24 +24,24 @@
 void LoopStallMonitor::start()
 {
     due_ = context_.now();
-    turns_ = std::make_unique<Repeat>(context_.io,
-                                      [this]() -> boost::asio::awaitable<kernel::Duration> {
-                                          const kernel::Instant now = context_.now();
-                                          note(due_, now);
-                                          due_ = now + TurnEvery;
-                                          co_return kernel::Duration(TurnEvery);
-                                      });
+    checks_ = std::make_unique<Repeat>(context_.io,
+                                       [this]() -> boost::asio::awaitable<kernel::Duration> {
+                                           const kernel::Instant now = context_.now();
+                                           recordDelay(due_, now);
+                                           due_ = now + CheckInterval;
+                                           co_return kernel::Duration(CheckInterval);
+                                       });
 }
 
 void LoopStallMonitor::stop()
 {
-    turns_.reset();
+    checks_.reset();
 }
 
-void LoopStallMonitor::note(kernel::Instant due, kernel::Instant now)
+void LoopStallMonitor::recordDelay(kernel::Instant due, kernel::Instant now)
 {
     const kernel::Duration late = now - due;
-    if (late < Standstill) {
+    if (late < StallThreshold) {
         return;
     }
     context_.counters.add("loop_standstills");
--- a/src/services/LoopStallMonitor.h
+++ b/src/services/LoopStallMonitor.h
@@ -27,11 +27,11 @@
 
 private:
     /** Records a check that ran at \a now but was due at \a due. */
-    void note(kernel::Instant due, kernel::Instant now);
+    void recordDelay(kernel::Instant due, kernel::Instant now);
 
     Context &context_;
     kernel::Instant due_;
-    std::unique_ptr<Repeat> turns_;
+    std::unique_ptr<Repeat> checks_;
 };
 
 } // namespace limereel::services
--- a/src/services/PeerService.cpp
+++ b/src/services/PeerService.cpp
@@ -15,7 +15,7 @@
 // At least one datagram is read between two polls. The system's default receive buffer of 208 kB
 // holds some hundred datagrams of this protocol. The limit keeps a peer that sends without pause
 // from blocking the caller of readPending().
-constexpr int MostLooks = 256;
+constexpr int MaxPolls = 256;
 
 const char *kindOf(const peer::Message &message)
 {
@@ -52,7 +52,7 @@
 
 void PeerService::send(const kernel::Endpoint &to, const peer::Message &message)
 {
-    if (!passes_(to)) {
+    if (!filter_(to)) {
         return;
     }
     const peer::Bytes datagram = peer::seal(peer::encode(message), keys_.front());
@@ -71,7 +71,7 @@
 asio::awaitable<void> PeerService::readPending(std::function<bool()> enough)
 {
     bool waiting = true;
-    for (int looks = 0; looks < MostLooks && waiting && !enough(); ++looks) {
+    for (int polls = 0; polls < MaxPolls && waiting && !enough(); ++polls) {
         waiting = http::arrivedAt(socket_.native_handle()) != http::Arrived::Nothing;
         // Yields to the event loop even if the socket is empty: the last datagram may have been
         // read already while its handler still waits to run: the read that each handler starts
@@ -88,16 +88,17 @@
                                        return;
                                    }
                                    if (!error) {
-                                       take(std::span(buffer_).first(bytes),
-                                            {from_.address().to_string(), from_.port()});
+                                       handleDatagram(std::span(buffer_).first(bytes),
+                                                      {from_.address().to_string(), from_.port()});
                                    }
                                    receiveNext();
                                });
 }
 
-void PeerService::take(std::span<const std::uint8_t> datagram, const kernel::Endpoint &from)
+void PeerService::handleDatagram(std::span<const std::uint8_t> datagram,
+                                 const kernel::Endpoint &from)
 {
-    if (!passes_(from)) {
+    if (!filter_(from)) {
         return;
     }
     const auto payload = peer::open(datagram, keys_);
--- a/src/services/PeerService.h
+++ b/src/services/PeerService.h
@@ -38,9 +38,9 @@
 
     /** Sets a filter: datagrams to or from \a other are dropped if it returns false. Tests use it
      * to simulate network partitions. */
-    void setFilter(std::function<bool(const kernel::Endpoint &other)> passes)
+    void setFilter(std::function<bool(const kernel::Endpoint &other)> filter)
     {
-        passes_ = std::move(passes);
+        filter_ = std::move(filter);
     }
 
     /** Sends \a message without waiting for an acknowledgement; it may be lost. */
@@ -54,7 +54,7 @@
 
 private:
     void receiveNext();
-    void take(std::span<const std::uint8_t> datagram, const kernel::Endpoint &from);
+    void handleDatagram(std::span<const std::uint8_t> datagram, const kernel::Endpoint &from);
 
     Context &context_;
     std::vector<peer::PeerKey> keys_;
@@ -62,7 +62,7 @@
     boost::asio::ip::udp::endpoint from_;
     std::array<std::uint8_t, 65536> buffer_{};
     std::vector<Receive> receivers_;
-    std::function<bool(const kernel::Endpoint &)> passes_ = [](const kernel::Endpoint &) {
+    std::function<bool(const kernel::Endpoint &)> filter_ = [](const kernel::Endpoint &) {
         return true;
     };
 };
--- a/src/services/PlatformService.cpp
+++ b/src/services/PlatformService.cpp
@@ -55,9 +55,9 @@
 
 StoreResult resultOf(const http::CallFailure &failure)
 {
-    const bool surelyWithout = failure.point == outcome::Point::BeforeConnect
-                               || failure.point == outcome::Point::ConnectedUnsent;
-    return {.answer = surelyWithout ? StoreAnswer::Unavailable : StoreAnswer::Lost};
+    const bool certainlyNoEffect = failure.point == outcome::Point::BeforeConnect
+                                   || failure.point == outcome::Point::ConnectedUnsent;
+    return {.answer = certainlyNoEffect ? StoreAnswer::Unavailable : StoreAnswer::Lost};
 }
 
 } // namespace
@@ -118,7 +118,7 @@
 }
 
 asio::awaitable<StoreResult> PlatformService::call(Kind kind, http::Request request,
-                                                   kernel::Duration longest)
+                                                   kernel::Duration answerTimeout)
 {
     const std::string kindText = kind == Kind::Read ? "read" : "write";
     if (!allowed(kind)) {
@@ -130,7 +130,7 @@
         request.fields.add("Authorization", "Bearer " + context_.settings.platformToken);
     }
     const http::CallTimeouts timeouts{.connect = context_.settings.platformTimeout,
-                                      .head = longest,
+                                      .head = answerTimeout,
                                       .part = context_.settings.platformTimeout};
     const auto answer = co_await http::call(context_.io, context_.settings.platform,
                                             std::move(request), timeouts);
--- a/src/services/PlatformService.h
+++ b/src/services/PlatformService.h
@@ -69,7 +69,7 @@
     enum class Kind : std::uint8_t { Read, Write };
 
     boost::asio::awaitable<StoreResult> call(Kind kind, http::Request request,
-                                             kernel::Duration longest);
+                                             kernel::Duration answerTimeout);
     bool allowed(Kind kind);
 
     Context &context_;
--- a/src/services/ProcessIdentity.cpp
+++ b/src/services/ProcessIdentity.cpp
@@ -9,9 +9,9 @@
 // of the earlier process; see MembershipService.
 std::uint64_t incarnationNow()
 {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
+    const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(
-            std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
+            std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count());
 }
 
 } // namespace
@@ -20,8 +20,8 @@
 {
     context.incarnation = incarnationNow();
     const std::uint64_t seed = context.settings.seed;
-    const std::uint64_t chance = std::random_device()() ^ context.settings.box.hash();
-    context.random.seed(seed != 0 ? seed : chance);
+    const std::uint64_t systemSeed = std::random_device()() ^ context.settings.box.hash();
+    context.random.seed(seed != 0 ? seed : systemSeed);
 }
 
 } // namespace limereel::services
--- a/src/services/Router.cpp
+++ b/src/services/Router.cpp
@@ -37,7 +37,7 @@
 }
 
 // Returns a source of the boxes in this box's hall, as the platform lists them.
-Acquaintance acquaintanceOf(Context &context)
+Acquaintance hallBoxSource(Context &context)
 {
     Acquaintance acquaintance;
     acquaintance.listed = [&context] {
@@ -61,7 +61,7 @@
     kernel.add(std::make_unique<PeerService>(context));
     kernel.add(std::make_unique<PlatformService>(context));
     kernel.add(std::make_unique<DirectoryService>(context));
-    kernel.add(std::make_unique<MembershipService>(context, acquaintanceOf(context)));
+    kernel.add(std::make_unique<MembershipService>(context, hallBoxSource(context)));
     kernel.add(std::make_unique<CrashService>(context));
     kernel.add(std::make_unique<RestService>(context));
     kernel.add(std::make_unique<ConfigService>(context));
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -23,10 +23,10 @@
 
 namespace {
 
-constexpr int MostAttempts = 3;
-constexpr std::size_t MostKeyBytes = 255;
+constexpr int MaxAttempts = 3;
+constexpr std::size_t MaxKeyBytes = 255;
 constexpr std::string_view Prefix = "/v1/services/";
-constexpr kernel::Duration ComeBackAfterFailure = 1s;
+constexpr kernel::Duration RetryDelayAfterFailure = 1s;
 
 bool isSafeMethod(const std::string &method)
 {
@@ -108,7 +108,7 @@
                          .body = request_.body});
         repeatable_ = isSafeMethod(request_.method) || service->repeatable;
         key_ = request_.fields.get("Idempotency-Key");
-        if (key_.size() > MostKeyBytes) {
+        if (key_.size() > MaxKeyBytes) {
             return refusalOf(ResultCode::BadRequest,
                              "the Idempotency-Key must have at most 255 bytes");
         }
@@ -133,12 +133,12 @@
                                           taken ? "a request with this key came before"
                                                 : "the key could not be claimed",
                                           taken ? kernel::Duration()
-                                                : kernel::Duration(ComeBackAfterFailure)));
+                                                : kernel::Duration(RetryDelayAfterFailure)));
                 co_return;
             }
             claim = *held;
         }
-        const std::optional<Refusal> failed = co_await attempts();
+        const std::optional<Refusal> failed = co_await runAttempts();
         if (!failed) {
             co_return;
         }
@@ -151,35 +151,36 @@
     }
 
     // Returns nothing if an answer was sent, else the refusal to send.
-    asio::awaitable<std::optional<Refusal>> attempts()
+    asio::awaitable<std::optional<Refusal>> runAttempts()
     {
         for (int number = 1;; ++number) {
-            const SendLeave leave = co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
-            if (!leave.granted()) {
-                co_return tell(refusalOf(codeOf(leave), whyNoLeave(leave), leave.comeBack));
+            const SendLeave permission =
+                    co_await guard_.takeLeave(context_.settings.firstTokenTimeout);
+            if (!permission.granted()) {
+                co_return summarised(
+                        refusalOf(codeOf(permission), whyNoLeave(permission), permission.comeBack));
             }
-            const auto runner = choose();
+            const auto runner = chooseRunner();
             if (!runner) {
-                co_return tell(noRunner());
+                co_return summarised(noRunner());
             }
             ++handler_.inFlight_[runner->backend.hash()];
             auto answer = co_await call(*runner);
             --handler_.inFlight_[runner->backend.hash()];
-            noteRest(*runner, answer);
-            const auto failure = judgeAnswer(answer);
-            co_await noteEnd(*runner, failure);
+            recordBackoff(*runner, answer);
+            const auto failure = failureOf(answer);
+            co_await recordAttempt(*runner, failure);
             if (!failure) {
-                co_await pass(std::move(*answer));
+                co_await forwardAnswer(std::move(*answer));
                 co_return std::nullopt;
             }
             const Verdict verdict = outcome::judge(*failure, {repeatable_, false});
-            story_.add(verdict);
+            summary_.add(verdict);
             const std::string message =
                     answer ? "the service did not take the request" : answer.error().message;
-            const auto next =
-                    outcome::afterFailure(verdict, number, MostAttempts, handler_.budget_);
+            const auto next = outcome::afterFailure(verdict, number, MaxAttempts, handler_.budget_);
             if (!next.again) {
-                co_return tell({next.verdict, message, ComeBackAfterFailure});
+                co_return summarised({next.verdict, message, RetryDelayAfterFailure});
             }
             context_.counters.add("retries", {{"reason", outcome::text(*failure)}});
             excluded_.insert(runner->backend.hash());
@@ -188,17 +189,17 @@
 
     // Chooses the runner with the fewest calls in flight from this router; ties are broken at
     // random.
-    std::optional<store::ListedBackend> choose()
+    std::optional<store::ListedBackend> chooseRunner()
     {
         auto runners =
                 context_.kernel.find<OwnerService>("owner").view().runnersOf(target_.service);
-        const auto &rests = context_.kernel.find<RestService>("rests");
-        someRest_ = false;
+        const auto &backoffs = context_.kernel.find<RestService>("rests");
+        someInBackoff_ = false;
         std::erase_if(runners, [&](const BackendView *runner) {
             const std::uint64_t hash = runner->listed.backend.hash();
-            const bool resting = rests.rests(hash);
-            someRest_ = someRest_ || resting;
-            return resting || excluded_.contains(hash);
+            const bool inBackoff = backoffs.rests(hash);
+            someInBackoff_ = someInBackoff_ || inBackoff;
+            return inBackoff || excluded_.contains(hash);
         });
         if (runners.empty()) {
             return std::nullopt;
@@ -212,16 +213,16 @@
 
     Refusal noRunner() const
     {
-        return someRest_
+        return someInBackoff_
                        ? refusalOf(ResultCode::ServersRest,
                                    "the runners of the service have asked for rest",
-                                   ComeBackAfterFailure)
+                                   RetryDelayAfterFailure)
                        : refusalOf(ResultCode::NoEngine, "no runner of the service can be reached",
-                                   ComeBackAfterFailure);
+                                   RetryDelayAfterFailure);
     }
 
-    void noteRest(const store::ListedBackend &runner,
-                  const tl::expected<http::Answer, http::CallFailure> &answer)
+    void recordBackoff(const store::ListedBackend &runner,
+                       const tl::expected<http::Answer, http::CallFailure> &answer)
     {
         if (answer) {
             context_.kernel.find<RestService>("rests").note(
@@ -252,7 +253,7 @@
     }
 
     std::optional<Point>
-    judgeAnswer(const tl::expected<http::Answer, http::CallFailure> &answer) const
+    failureOf(const tl::expected<http::Answer, http::CallFailure> &answer) const
     {
         if (!answer) {
             return answer.error().point;
@@ -266,7 +267,8 @@
 
     // The platform's list has no incarnation of a runner, so the hash of its name stands in for it:
     // a runner that crashes twice counts once.
-    asio::awaitable<void> noteEnd(const store::ListedBackend &runner, std::optional<Point> failure)
+    asio::awaitable<void> recordAttempt(const store::ListedBackend &runner,
+                                        std::optional<Point> failure)
     {
         AttemptServer server;
         server.id = runner.backend.text();
@@ -278,7 +280,7 @@
                                 std::move(server));
     }
 
-    asio::awaitable<void> pass(http::Answer answer)
+    asio::awaitable<void> forwardAnswer(http::Answer answer)
     {
         const bool failed = answer.status >= 500;
         const ResultCode code = failed ? ResultCode::BackendFailed : ResultCode::Ok;
@@ -289,9 +291,9 @@
         co_await reply_.send(std::move(out));
     }
 
-    Refusal tell(Refusal refusal) const
+    Refusal summarised(Refusal refusal) const
     {
-        refusal.verdict = story_.tell(refusal.verdict);
+        refusal.verdict = summary_.tell(refusal.verdict);
         return refusal;
     }
 
@@ -318,8 +320,8 @@
     std::string key_;
     bool repeatable_ = false;
     std::set<std::uint64_t> excluded_;
-    bool someRest_ = false; ///< Whether a runner was in backoff when one was last chosen.
-    outcome::Story story_;
+    bool someInBackoff_ = false; ///< Whether a runner was in backoff when one was last chosen.
+    outcome::Story summary_;
 };
 
 asio::awaitable<void> ServiceHandler::handle(http::Request request, http::Reply &reply,
--- a/src/services/SettingsExchange.cpp
+++ b/src/services/SettingsExchange.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr nng_duration AskMilliseconds = 3000;
-constexpr std::size_t MostBytes = 2097152;
+constexpr nng_duration AskTimeoutMilliseconds = 3000;
+constexpr std::size_t MaxMessageBytes = 2097152;
 
 std::string urlOf(const kernel::Endpoint &endpoint)
 {
@@ -77,7 +77,7 @@
 
 // Runs in a thread of nng when a send or a receive completes: after the send it starts the receive,
 // after the receive it completes the request.
-void onAsk(void *argument)
+void onAskEvent(void *argument)
 {
     auto *const ask = static_cast<Ask *>(argument);
     const bool failed = nng_aio_result(ask->aio) != 0;
@@ -117,7 +117,8 @@
     void open(const kernel::Endpoint &where)
     {
         check(nng_rep0_open(&socket), "the settings exchange can't open its socket");
-        check(nng_socket_set_size(socket, NNG_OPT_RECVMAXSZ, MostBytes), "the settings exchange");
+        check(nng_socket_set_size(socket, NNG_OPT_RECVMAXSZ, MaxMessageBytes),
+              "the settings exchange");
         check(nng_aio_alloc(&aio, &Listener::onEvent, this), "the settings exchange");
         check(nng_listen(socket, urlOf(where).c_str(), nullptr, 0),
               "the settings exchange can't listen at " + kernel::text(where));
@@ -180,13 +181,14 @@
     const auto ask =
             std::make_shared<Ask>(context_.io, peer::peerKeysFrom(context_.settings.peerKeys));
     const bool ready =
-            nng_req0_open(&ask->socket) == 0 && nng_aio_alloc(&ask->aio, &onAsk, ask.get()) == 0
-            && nng_socket_set_size(ask->socket, NNG_OPT_RECVMAXSZ, MostBytes) == 0
+            nng_req0_open(&ask->socket) == 0
+            && nng_aio_alloc(&ask->aio, &onAskEvent, ask.get()) == 0
+            && nng_socket_set_size(ask->socket, NNG_OPT_RECVMAXSZ, MaxMessageBytes) == 0
             && nng_dial(ask->socket, urlOf(where).c_str(), nullptr, NNG_FLAG_NONBLOCK) == 0;
     if (!ready) {
         co_return std::nullopt;
     }
-    nng_aio_set_timeout(ask->aio, AskMilliseconds);
+    nng_aio_set_timeout(ask->aio, AskTimeoutMilliseconds);
     nng_aio_set_msg(ask->aio, sealText(request, ask->keys.front()));
     ask->self = ask;
     nng_send_aio(ask->socket, ask->aio);
--- a/src/services/StopDeadline.cpp
+++ b/src/services/StopDeadline.cpp
@@ -5,19 +5,19 @@
 namespace {
 
 // A poll that comes this many poll intervals or more after the last one indicates a stall.
-constexpr int StandstillLooks = 3;
+constexpr int StallPolls = 3;
 
 } // namespace
 
 bool StopDeadline::expired(kernel::Instant now)
 {
-    const bool stoodStill = now - looked_ >= times_.pollInterval * StandstillLooks;
-    looked_ = now;
-    if (stoodStill && !respited_ && now + times_.deadlineExtension > times_.deadline) {
-        respited_ = true;
-        times_.deadline = now + times_.deadlineExtension;
+    const bool stalled = now - lastPoll_ >= schedule_.pollInterval * StallPolls;
+    lastPoll_ = now;
+    if (stalled && !extended_ && now + schedule_.deadlineExtension > schedule_.deadline) {
+        extended_ = true;
+        schedule_.deadline = now + schedule_.deadlineExtension;
     }
-    return now >= times_.deadline;
+    return now >= schedule_.deadline;
 }
 
 } // namespace limereel::services
--- a/src/services/StopDeadline.h
+++ b/src/services/StopDeadline.h
@@ -25,9 +25,9 @@
 class StopDeadline
 {
 public:
-    explicit StopDeadline(const StopSchedule &times)
-        : times_(times)
-        , looked_(times.start)
+    explicit StopDeadline(const StopSchedule &schedule)
+        : schedule_(schedule)
+        , lastPoll_(schedule.start)
     {
     }
 
@@ -35,9 +35,9 @@
     bool expired(kernel::Instant now);
 
 private:
-    StopSchedule times_;
-    kernel::Instant looked_; ///< Time of the last poll.
-    bool respited_ = false;
+    StopSchedule schedule_;
+    kernel::Instant lastPoll_; ///< Time of the last poll.
+    bool extended_ = false;
 };
 
 } // namespace limereel::services
--- a/src/services/StopService.cpp
+++ b/src/services/StopService.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr kernel::Duration LookEvery = 50ms;
-constexpr int FarewellBeats =
+constexpr kernel::Duration PollInterval = 50ms;
+constexpr int LeaveHeartbeats =
         3; ///< Heartbeats that announce that the box is leaving, before it may exit.
 // Requests that arrived during a stall are read and answered within a few iterations of the loop.
-constexpr kernel::Duration Respite = 200ms;
+constexpr kernel::Duration DeadlineExtension = 200ms;
 
 const kernel::Log &log()
 {
@@ -49,23 +49,24 @@
 asio::awaitable<void> StopService::run()
 {
     auto &caller = context_.kernel.find<CallerService>("caller");
-    const kernel::Instant began = context_.now();
-    const kernel::Duration farewell = context_.settings.heartbeatPeriod * FarewellBeats;
+    const kernel::Instant startedAt = context_.now();
+    const kernel::Duration announcement = context_.settings.heartbeatPeriod * LeaveHeartbeats;
     asio::steady_timer timer(context_.io);
-    const kernel::Duration first = std::max(context_.settings.balancerLag, farewell);
-    timer.expires_after(first);
+    const kernel::Duration servingPeriod = std::max(context_.settings.balancerLag, announcement);
+    timer.expires_after(servingPeriod);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     caller.drain();
-    StopDeadline end({began + first, began + context_.settings.stopDeadline, LookEvery, Respite});
+    StopDeadline deadline({startedAt + servingPeriod, startedAt + context_.settings.stopDeadline,
+                           PollInterval, DeadlineExtension});
     // Waits once before the first check: an accepted connection may not have started its first
     // read.
     do {
-        timer.expires_after(LookEvery);
+        timer.expires_after(PollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    } while (caller.active() > 0 && !end.expired(context_.now()));
-    const std::size_t cut = caller.active();
-    if (cut > 0) {
-        log().error("The deadline of the planned stop has passed; " + std::to_string(cut)
+    } while (caller.active() > 0 && !deadline.expired(context_.now()));
+    const std::size_t aborted = caller.active();
+    if (aborted > 0) {
+        log().error("The deadline of the planned stop has passed; " + std::to_string(aborted)
                     + " requests are aborted.");
     }
     log().info("The planned stop is done.");
