--- a/test/correctness/EndToEnd.cpp
+++ b/test/correctness/EndToEnd.cpp
@@ -27,7 +27,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(EndToEndTest, HallFixture)
 
-BOOST_AUTO_TEST_CASE(chat_streamed_isAnsweredWhole)
+BOOST_AUTO_TEST_CASE(chat_streamed_isAnsweredCompletely)
 {
     const auto answer = fleet.chat(0, Turn{.chat = "c1", .says = "when is my bin collected?"});
     BOOST_TEST(answer.status == 200);
@@ -36,7 +36,7 @@
     BOOST_TEST(fleet.engineRuns() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(chat_notStreamed_isAnsweredWhole)
+BOOST_AUTO_TEST_CASE(chat_notStreamed_isAnsweredCompletely)
 {
     const auto answer = fleet.chat(1, Turn{.chat = "c1", .says = "hi", .stream = false});
     BOOST_TEST(answer.status == 200);
@@ -44,7 +44,7 @@
     BOOST_TEST(answer.text() == "[hi] t1 t2 t3");
 }
 
-BOOST_AUTO_TEST_CASE(chat_returningAtAnotherRouter_findsItsEngine)
+BOOST_AUTO_TEST_CASE(chat_continuedAtAnotherRouter_reachesTheSameEngine)
 {
     const auto first = fleet.chat(0, Turn{.chat = "c7"});
     const auto second = fleet.chat(1, Turn{.chat = "c7"});
@@ -53,7 +53,7 @@
     BOOST_TEST(fleet.engineNamed(first.engine).prefixHits() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(chat_whenDone_leavesNoPermitBehind)
+BOOST_AUTO_TEST_CASE(chat_finished_releasesItsPermit)
 {
     for (int turn = 0; turn < 8; ++turn) {
         BOOST_TEST(fleet.chat(turn % 2, Turn{.chat = "c" + std::to_string(turn)}).whole);
--- a/test/correctness/FrontTest.cpp
+++ b/test/correctness/FrontTest.cpp
@@ -119,7 +119,7 @@
             raw("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf").empty());
 }
 
-BOOST_AUTO_TEST_CASE(client_tooManyConnections_isToldSo)
+BOOST_AUTO_TEST_CASE(client_tooManyConnections_isRefusedWithItsResultCode)
 {
     namespace asio = boost::asio;
     const auto &at = fleet.context(0).settings.caller;
@@ -141,7 +141,7 @@
     BOOST_TEST(fleet.call(0, {"GET", "/readyz"}).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(control_withoutOperatorsKey_showsNothing)
+BOOST_AUTO_TEST_CASE(control_withoutOperatorsKey_isRefused)
 {
     for (const char *path : {"/v1/status", "/v1/settings", "/v1/settings/status"}) {
         http::Answer answer;
@@ -163,7 +163,7 @@
     BOOST_TEST(fleet.chat(0, Turn{.key = "key-of-the-hauler-a"}).whole);
 }
 
-BOOST_AUTO_TEST_CASE(organisation_atItsLimit_isRefusedAtOnceWithWhenToComeBack)
+BOOST_AUTO_TEST_CASE(organisation_atItsLimit_isRefusedAtOnceWithRetryAfter)
 {
     BOOST_TEST(fleet.set(0, "/accra/hauler-b", "requests-per-minute", "6").status == 200);
     BOOST_TEST(fleet.chat(0, Turn{.key = "key-of-the-hauler-b"}).whole);
--- a/test/correctness/ProcessTest.cpp
+++ b/test/correctness/ProcessTest.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-const std::map<std::string, std::string> FastSections = {
+const std::map<std::string, std::string> ShortTimings = {
         {"peers",
          "heartbeat-period = 100ms\nsettle = 500ms\npermit-lease = 3s\nask-timeout = 100ms\n"},
         {"platform", "directory-period = 200ms\nwatch-timeout = 2s\n"},
@@ -33,7 +33,7 @@
                 / ("limereel-test-" + std::to_string(::getpid()) + "-" + std::to_string(++count())))
         , fleet(folder,
                 {{.name = "hall-a", .region = "here", .routers = 3, .engines = 4, .runners = 1}},
-                FastSections)
+                ShortTimings)
     {
         fleet.publish();
         for (std::size_t index = 0; index < fleet.routers().size(); ++index) {
@@ -84,7 +84,7 @@
     }
 
     /** Whether \a router answers a chat completely. */
-    bool whole(std::size_t router, const std::string &id, int tokens = 5)
+    bool answersCompletely(std::size_t router, const std::string &id, int tokens = 5)
     {
         const auto answer = support::callBlocking(fleet.routers()[router].caller, chat(id, tokens));
         return answer && answer->status == 200
@@ -122,26 +122,28 @@
 
 BOOST_AUTO_TEST_CASE(router_killed_othersServeEveryChat)
 {
-    BOOST_TEST(whole(0, "before"));
+    BOOST_TEST(answersCompletely(0, "before"));
     fleet.routers()[2].process.signal(SIGKILL);
     for (int turn = 0; turn < 40; ++turn) {
-        BOOST_TEST(whole(static_cast<std::size_t>(turn % 2), "c" + std::to_string(turn)));
+        BOOST_TEST(
+                answersCompletely(static_cast<std::size_t>(turn % 2), "c" + std::to_string(turn)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(router_frozenAndThawed_othersServeAndItJoinsAgain)
+BOOST_AUTO_TEST_CASE(router_pausedAndResumed_othersServeAndItRejoins)
 {
     fleet.routers()[1].process.signal(SIGSTOP);
     for (int turn = 0; turn < 30; ++turn) {
-        BOOST_TEST(whole(turn % 2 == 0 ? 0 : 2, "c" + std::to_string(turn)));
+        BOOST_TEST(answersCompletely(turn % 2 == 0 ? 0 : 2, "c" + std::to_string(turn)));
     }
     fleet.routers()[1].process.signal(SIGCONT);
-    support::waitFor([&] { return ready(1) && whole(1, "thawed"); }, "the thawed router serves");
+    support::waitFor([&] { return ready(1) && answersCompletely(1, "thawed"); },
+                     "the resumed router serves");
 }
 
 // A signal takes effect only once the kernel has terminated the process. Until the process has been
 // reaped, its listening sockets may still accept a connection and a request that nothing reads.
-BOOST_AUTO_TEST_CASE(enginesAllKilledAndGone_requestsAreRefusedAsNotRun)
+BOOST_AUTO_TEST_CASE(enginesAllTerminated_requestsAreRefusedAsNotRun)
 {
     fleet.enginesProcess(0).signal(SIGKILL);
     fleet.enginesProcess(0).wait();
@@ -154,7 +156,7 @@
 
 // Sends a request without waiting for the engines to terminate. If an engine's socket accepted the
 // request, the router can't know whether it ran, and must report exactly that to the caller.
-BOOST_AUTO_TEST_CASE(enginesBeingKilled_requestIsServedNeverAndToldTruly)
+BOOST_AUTO_TEST_CASE(enginesBeingKilled_requestIsRefusedAsNotRunOrUnknown)
 {
     fleet.enginesProcess(0).signal(SIGKILL);
     const auto answer = support::callBlocking(fleet.routers()[0].caller, chat("c", 5));
@@ -187,22 +189,22 @@
     BOOST_TEST(fleet.routers()[0].process.wait() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(platform_killed_fleetGoesOnAndTakesNoUpdates)
+BOOST_AUTO_TEST_CASE(platform_killed_fleetServesChatsAndRefusesUpdates)
 {
     fleet.platformProcess().signal(SIGKILL);
-    BOOST_TEST(whole(0, "c1"));
-    BOOST_TEST(whole(1, "c2"));
+    BOOST_TEST(answersCompletely(0, "c1"));
+    BOOST_TEST(answersCompletely(1, "c2"));
     const auto [code, output] = command("config set /accra priority 7" + box(0));
     BOOST_TEST(code == 5);
 }
 
-BOOST_AUTO_TEST_CASE(commands_overTheFleet_workAndSayWhatIsWrong)
+BOOST_AUTO_TEST_CASE(commands_againstTheFleet_succeedOrReportTheError)
 {
     struct Row
     {
         std::string words;
         int code;
-        std::string says;
+        std::string expected;
     };
     const std::string at = box(0);
     const Row rows[] = {
@@ -238,7 +240,7 @@
         {
             const auto [code, output] = command(row.words);
             BOOST_TEST(code == row.code);
-            BOOST_TEST(output.find(row.says) != std::string::npos, output);
+            BOOST_TEST(output.find(row.expected) != std::string::npos, output);
         }
     }
     BOOST_TEST(fleet.routers()[2].process.wait() == 0);
--- a/test/correctness/SettingsFlowTest.cpp
+++ b/test/correctness/SettingsFlowTest.cpp
@@ -98,7 +98,7 @@
     BOOST_TEST(fleet.until([this] { return allAt(3); }));
 }
 
-BOOST_AUTO_TEST_CASE(update_answerOfThePlatformLost_isMadeOnce)
+BOOST_AUTO_TEST_CASE(update_answerOfThePlatformLost_isAppliedOnce)
 {
     for (int lost = 1; lost <= 2; ++lost) {
         fleet.platform().faults.loseAnswers = lost;
@@ -117,14 +117,14 @@
     BOOST_TEST(fleet.until([this] { return allAt(2); }));
 }
 
-BOOST_AUTO_TEST_CASE(update_platformAway_isNotAcceptedAndWhatIsInForceStays)
+BOOST_AUTO_TEST_CASE(update_platformDown_isRefusedAndTheOldSettingsStayInForce)
 {
     fleet.platform().faults.down = true;
     BOOST_TEST(fleet.set(0, "/accra", "priority", "6").status >= 500);
     BOOST_TEST(allAt(1));
 }
 
-BOOST_AUTO_TEST_CASE(platform_restoredToOldData_isGivenTheNewerTreeBack)
+BOOST_AUTO_TEST_CASE(platform_restoredToOldData_newerTreeIsWrittenBack)
 {
     fleet.platform().keep();
     BOOST_TEST(fleet.set(0, "/accra", "priority", "7").status == 200);
@@ -146,7 +146,7 @@
     BOOST_TEST(fleet.until([this] { return allAt(3); }));
 }
 
-BOOST_AUTO_TEST_CASE(platform_staleReads_nothingGoesBack)
+BOOST_AUTO_TEST_CASE(platform_staleReads_noBoxRevertsToAnOlderRevision)
 {
     BOOST_TEST(fleet.set(0, "/accra", "priority", "7").status == 200);
     BOOST_TEST(fleet.until([this] { return allAt(2); }));
@@ -171,7 +171,7 @@
     BOOST_TEST(fleet.until([this] { return revision(1) == 2; }));
 }
 
-BOOST_AUTO_TEST_CASE(router_withoutAnySettings_servesNothingAndSaysSo)
+BOOST_AUTO_TEST_CASE(router_withoutSettings_refusesRequestsAndIsNotReady)
 {
     Fleet empty;
     empty.tree("").engines("hall-a", 1).routers("hall-a", 1);
@@ -187,13 +187,13 @@
     BOOST_TEST(fleet.set(0, "/accra", "priority", "7").status == 200);
     const auto complete = [this] {
         const json status = json::parse(fleet.control(0, "GET", "/v1/settings/status").body);
-        std::size_t have = 0;
+        std::size_t updatedBoxes = 0;
         for (const auto &[hall, boxes] : status["halls"].items()) {
-            for (const auto &[box, has] : boxes.items()) {
-                have += has == 2 ? 1 : 0;
+            for (const auto &[box, boxRevision] : boxes.items()) {
+                updatedBoxes += boxRevision == 2 ? 1 : 0;
             }
         }
-        return have == 5;
+        return updatedBoxes == 5;
     };
     BOOST_TEST(fleet.until(complete));
 }
--- a/test/correctness/StopDeadlineTest.cpp
+++ b/test/correctness/StopDeadlineTest.cpp
@@ -9,65 +9,65 @@
 
 namespace {
 
-const Instant Begun(10s);
-const Instant End = Begun + 1s;
-constexpr kernel::Duration LookEvery = 20ms;
-constexpr kernel::Duration Respite = 200ms;
+const Instant Start(10s);
+const Instant Deadline = Start + 1s;
+constexpr kernel::Duration PollInterval = 20ms;
+constexpr kernel::Duration Extension = 200ms;
 
-/** A stop that was polled without a stall until \a awakeUntil. */
-services::StopDeadline lookedAtUntil(Instant awakeUntil)
+/** A stop that was polled without a stall until \a lastPoll. */
+services::StopDeadline polledUntil(Instant lastPoll)
 {
-    services::StopDeadline end({Begun, End, LookEvery, Respite});
-    for (Instant now = Begun; now <= awakeUntil; now += LookEvery) {
-        end.expired(now);
+    services::StopDeadline stop({Start, Deadline, PollInterval, Extension});
+    for (Instant now = Start; now <= lastPoll; now += PollInterval) {
+        stop.expired(now);
     }
-    return end;
+    return stop;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(StopDeadlineTest)
 
-BOOST_AUTO_TEST_CASE(over_looksInTime_isAtTheEnd)
+BOOST_AUTO_TEST_CASE(expired_polledWithoutStall_atTheDeadline)
 {
-    services::StopDeadline end = lookedAtUntil(End - LookEvery - 1us);
-    BOOST_TEST(!end.expired(End - 1us));
-    BOOST_TEST(end.expired(End));
+    services::StopDeadline stop = polledUntil(Deadline - PollInterval - 1us);
+    BOOST_TEST(!stop.expired(Deadline - 1us));
+    BOOST_TEST(stop.expired(Deadline));
 }
 
-BOOST_AUTO_TEST_CASE(over_standstillPastTheEnd_isAfterARespite)
+BOOST_AUTO_TEST_CASE(expired_stallPastTheDeadline_afterTheExtension)
 {
-    services::StopDeadline end = lookedAtUntil(Begun + 500ms);
-    const Instant awake = End + 5s;
-    BOOST_TEST(!end.expired(awake));
-    BOOST_TEST(!end.expired(awake + LookEvery));
-    BOOST_TEST(end.expired(awake + Respite));
+    services::StopDeadline stop = polledUntil(Start + 500ms);
+    const Instant resumed = Deadline + 5s;
+    BOOST_TEST(!stop.expired(resumed));
+    BOOST_TEST(!stop.expired(resumed + PollInterval));
+    BOOST_TEST(stop.expired(resumed + Extension));
 }
 
-BOOST_AUTO_TEST_CASE(over_standstillUntilShortlyBeforeTheEnd_isAfterARespite)
+BOOST_AUTO_TEST_CASE(expired_stallUntilShortlyBeforeTheDeadline_afterTheExtension)
 {
-    services::StopDeadline end = lookedAtUntil(Begun + 500ms);
-    BOOST_TEST(!end.expired(End - 10ms));
-    BOOST_TEST(!end.expired(End + 10ms));
-    BOOST_TEST(end.expired(End - 10ms + Respite));
+    services::StopDeadline stop = polledUntil(Start + 500ms);
+    BOOST_TEST(!stop.expired(Deadline - 10ms));
+    BOOST_TEST(!stop.expired(Deadline + 10ms));
+    BOOST_TEST(stop.expired(Deadline - 10ms + Extension));
 }
 
-BOOST_AUTO_TEST_CASE(over_standstillLongBeforeTheEnd_isAtTheEnd)
+BOOST_AUTO_TEST_CASE(expired_stallLongBeforeTheDeadline_atTheDeadline)
 {
-    services::StopDeadline end = lookedAtUntil(Begun + 100ms);
-    BOOST_TEST(!end.expired(Begun + 500ms));
-    for (Instant now = Begun + 500ms; now < End; now += LookEvery) {
-        end.expired(now);
+    services::StopDeadline stop = polledUntil(Start + 100ms);
+    BOOST_TEST(!stop.expired(Start + 500ms));
+    for (Instant now = Start + 500ms; now < Deadline; now += PollInterval) {
+        stop.expired(now);
     }
-    BOOST_TEST(end.expired(End));
+    BOOST_TEST(stop.expired(Deadline));
 }
 
-BOOST_AUTO_TEST_CASE(over_secondStandstill_getsNoRespite)
+BOOST_AUTO_TEST_CASE(expired_secondStall_getsNoExtension)
 {
-    services::StopDeadline end = lookedAtUntil(Begun + 500ms);
-    const Instant awake = End + 5s;
-    BOOST_TEST(!end.expired(awake));
-    BOOST_TEST(end.expired(awake + 10s));
+    services::StopDeadline stop = polledUntil(Start + 500ms);
+    const Instant resumed = Deadline + 5s;
+    BOOST_TEST(!stop.expired(resumed));
+    BOOST_TEST(stop.expired(resumed + 10s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
