--- a/src/services/ChatHandler.cpp
+++ b/src/services/ChatHandler.cpp
@@ -138,8 +138,8 @@
             if (!permit && spill_) {
                 auto elsewhere =
                         co_await context_.kernel.find<SpillService>("spill").acquire(need_);
-                // If no other hall has capacity either, the reason and the
-                // Retry-After advice of this box's hall are returned.
+                // If no other hall has capacity either, the reason and the Retry-After advice of
+                // this box's hall are returned.
                 if (elsewhere) {
                     permit = std::move(elsewhere);
                 }
--- a/src/services/ChatRun.cpp
+++ b/src/services/ChatRun.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t MaxEarlyFrames = 256;
 constexpr kernel::Duration CancelTimeout = 1s;
 
-/** A frame as sent by the engine, with the field that isn't part of the answer itself. */
+/** A frame as sent by the engine, with the cached-token count that only the last frame carries. */
 struct WireFrame
 {
     Frame frame;
--- a/src/services/ChatRun.h
+++ b/src/services/ChatRun.h
@@ -2,8 +2,8 @@
  * One attempt of a chat request on one engine: sends the request, checks every frame of the answer,
  * resumes a stream that broke, and cancels the request when the caller has disconnected.
  *
- * Frames that pass the check are delivered one by one. An attempt that fails reports the
- * outcome::Point at which it failed; one whose answer is complete reports none.
+ * Frames that pass the check are delivered one by one. An attempt that fails reports at which point
+ * it failed; one whose answer is complete reports none.
  */
 #pragma once
 
--- a/src/services/LoopStallMonitor.cpp
+++ b/src/services/LoopStallMonitor.cpp
@@ -46,7 +46,7 @@
     }
     context_.counters.add("loop_standstills");
     context_.counters.observe("loop_standstill_seconds", kernel::seconds(late));
-    log().event("stood-still", {{"late_ms", late / 1ms}}, "The event loop stood still.");
+    log().event("stood-still", {{"late_ms", late / 1ms}}, "The event loop stalled.");
 }
 
 } // namespace limereel::services
