--- a/src/services/CallerService.cpp
+++ b/src/services/CallerService.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr double RetryBudgetCap = 20;
-constexpr kernel::Duration ComeBackWhenConfigured = 2s;
+constexpr kernel::Duration RetryDelayWithoutSettings = 2s;
 
 const kernel::Log &log()
 {
@@ -80,8 +80,9 @@
                                {"code", std::string(outcome::info(refusal.verdict.code).name)}});
         return refusalAnswer(newRequestId(), refusal);
     });
-    server_->onConnectionEnd(
-            [this](const http::ConnectionEnd &end) { noteConnectionEnd(context_.counters, end); });
+    server_->onConnectionEnd([this](const http::ConnectionEnd &end) {
+        recordConnectionEnd(context_.counters, end);
+    });
     server_->listen(context_.settings.caller);
     log().info("Callers are served at " + kernel::text(context_.settings.caller) + ".");
 }
@@ -129,7 +130,7 @@
         refusal = refusalOf(ResultCode::UnknownPath, "there is no " + request.method + " " + path);
     } else if (!context_.kernel.find<ConfigService>("config").ready()) {
         refusal = refusalOf(ResultCode::NoConfiguration, "the box has no settings yet",
-                            ComeBackWhenConfigured);
+                            RetryDelayWithoutSettings);
     }
     if (refusal) {
         context_.counters.add("results",
@@ -154,7 +155,7 @@
                 requestId, refusalOf(ResultCode::BadKey, "no organisation has this API key")));
         co_return;
     }
-    // By value: the settings may change while the request is served.
+    // Copied, as the settings may change while the request is served.
     config::OrganisationSettings owner = *organisation;
     if (request.path() == "/v1/chat/completions") {
         co_await chats_.handle(std::move(request), reply, std::move(owner), std::move(requestId));
--- a/src/services/ConfigService.cpp
+++ b/src/services/ConfigService.cpp
@@ -25,9 +25,9 @@
 namespace {
 
 const std::string TreeObject = "settings/tree";
-constexpr kernel::Duration FirstBackoff = 250ms;
-constexpr kernel::Duration LongestBackoff = 5s;
-constexpr int UpdateTries = 6;
+constexpr kernel::Duration InitialBackoff = 250ms;
+constexpr kernel::Duration MaxBackoff = 5s;
+constexpr int MaxUpdateTries = 6;
 
 const kernel::Log &log()
 {
@@ -55,7 +55,7 @@
     return {.kind = kind, .problems = {}, .conflicts = {}, .message = std::move(message)};
 }
 
-/** The object as read: the tree, or an empty one where there is none yet. */
+/** The tree read from the platform and its version; an empty tree if the platform has none yet. */
 struct ReadTree
 {
     Tree tree;
@@ -76,7 +76,7 @@
 
 ConfigService::ConfigService(Context &context)
     : context_(context)
-    , backoff_(FirstBackoff, LongestBackoff)
+    , backoff_(InitialBackoff, MaxBackoff)
 {
 }
 
@@ -104,19 +104,19 @@
     const auto &membership = context_.kernel.find<MembershipService>("membership");
     const std::uint64_t watch = kernel::hashOf("settings-watch/" + context_.settings.hall.text());
     const auto owner = membership::ownerOf(watch, membership.owners());
-    // A box that leaves while it is alone has no owner to hand over to, and goes on.
+    // A leaving box that is alone in the hall finds no owner and keeps watching.
     return !owner || *owner == membership.self();
 }
 
 asio::awaitable<kernel::Duration> ConfigService::watchRound()
 {
-    // A box without any settings reads for itself, whoever watches.
+    // A box without any settings reads them itself, even if another box watches.
     if (!isWatcher() && ready()) {
         co_return context_.settings.heartbeatPeriod;
     }
     auto &platform = context_.kernel.find<PlatformService>("platform");
     StoreResult result;
-    if (everRead_ && ready()) {
+    if (hasRead_ && ready()) {
         result = co_await platform.watch(TreeObject, seenVersion_);
     } else {
         result = co_await platform.get(TreeObject);
@@ -126,7 +126,7 @@
         co_return backoff_.fail(context_.random);
     }
     backoff_.succeed();
-    everRead_ = true;
+    hasRead_ = true;
     if (!result.unchanged) {
         seenVersion_ = read->version;
         const std::uint64_t revision = read->tree.revision;
@@ -137,7 +137,7 @@
             co_await repair(read->version);
         }
         if (read->version == 0 && !ready()) {
-            co_return FirstBackoff * 2;
+            co_return InitialBackoff * 2;
         }
     }
     co_await writeStatus();
@@ -164,16 +164,17 @@
     context_.counters.add("settings_fetches");
     const auto text = co_await exchange_->ask(*where, std::to_string(installed_.revision()));
     if (text) {
-        takeAnswer(*text, membership.nameOf(ahead.front()));
+        applyAnswer(*text, membership.nameOf(ahead.front()));
     }
     co_return context_.settings.heartbeatPeriod;
 }
 
-// The platform has an older tree than the one in force: it was restored. What was accepted must not
-// revert, so it is given the newer tree, under the condition that nobody else did so first.
+// Writes the tree in force back to a platform that has an older one because it was restored.
+// Accepted updates must not be reverted. The write is conditional, so that only one box makes it.
 asio::awaitable<void> ConfigService::repair(std::uint64_t version)
 {
-    log().warn("The platform holds revision older than the one in force; it is given ours.");
+    log().warn("The platform holds an older revision than the one in force; the newer tree is "
+               "written back.");
     context_.counters.add("settings_repairs");
     auto &platform = context_.kernel.find<PlatformService>("platform");
     const StoreResult result =
@@ -186,7 +187,7 @@
 asio::awaitable<void> ConfigService::writeStatus()
 {
     const auto revisions = hallRevisions();
-    if (revisions == statusWritten_ || !isWatcher()) {
+    if (revisions == writtenStatus_ || !isWatcher()) {
         co_return;
     }
     auto &platform = context_.kernel.find<PlatformService>("platform");
@@ -197,7 +198,7 @@
     }
     const StoreResult written = co_await platform.put(object, old.version, json(revisions).dump());
     if (written.answer == StoreAnswer::Done) {
-        statusWritten_ = revisions;
+        writtenStatus_ = revisions;
     }
 }
 
@@ -214,10 +215,10 @@
 
 void ConfigService::offer(Tree tree, const std::string &source)
 {
-    note(installed_.offer(std::move(tree)), source);
+    handleOfferResult(installed_.offer(std::move(tree)), source);
 }
 
-void ConfigService::note(OfferResult result, const std::string &source)
+void ConfigService::handleOfferResult(OfferResult result, const std::string &source)
 {
     context_.counters.add("settings_offers", {{"result", config::text(result)}});
     switch (result) {
@@ -233,8 +234,7 @@
                     + "; ours stays in force. See OPERATIONS.md, 'Divergent settings'.");
         break;
     case OfferResult::Invalid:
-        log().error("A tree that breaks the rules came from " + source
-                    + "; it is not put in force.");
+        log().error("A tree that breaks the rules came from " + source + "; it is rejected.");
         break;
     case OfferResult::Same:
     case OfferResult::Older:
@@ -259,7 +259,7 @@
     return json{{"updates", config::toJson(*updates)}, {"digest", config::digestOf(tree)}}.dump();
 }
 
-void ConfigService::takeAnswer(const std::string &text, const std::string &source)
+void ConfigService::applyAnswer(const std::string &text, const std::string &source)
 {
     const json object = json::parse(text, nullptr, false);
     if (!object.is_object()) {
@@ -273,7 +273,9 @@
     }
     if (object.contains("updates") && object["updates"].is_string() && object.contains("digest")) {
         if (const auto updates = config::updatesFromJson(object["updates"].get<std::string>())) {
-            note(installed_.offerUpdates(*updates, object["digest"].get<std::uint64_t>()), source);
+            handleOfferResult(
+                    installed_.offerUpdates(*updates, object["digest"].get<std::uint64_t>()),
+                    source);
         }
     }
 }
@@ -289,7 +291,7 @@
     wanted.id = context_.settings.box.text() + "-" + std::to_string(context_.incarnation) + "-"
                 + std::to_string(context_.random());
     store::Backoff pause(50ms, 1s);
-    for (int tries = 0; tries < UpdateTries; ++tries) {
+    for (int tries = 0; tries < MaxUpdateTries; ++tries) {
         const auto result = co_await tryUpdate(wanted, base);
         if (result) {
             co_return *result;
@@ -304,8 +306,8 @@
                     + wanted.id + " before trying again"));
 }
 
-// One read and one conditional write. Nothing: try again, which is safe because an update that took
-// effect although its answer was lost is found in the history by its id.
+// Makes one read and one conditional write. Returns nothing if the caller should try again. That is
+// safe: an update that took effect although its answer was lost is found in the history by its id.
 asio::awaitable<std::optional<tl::expected<std::uint64_t, UpdateRefusal>>>
 ConfigService::tryUpdate(const Update &wanted, std::uint64_t base)
 {
--- a/src/services/ConnectionLog.cpp
+++ b/src/services/ConnectionLog.cpp
@@ -15,7 +15,7 @@
     return Log;
 }
 
-bool mayHaveCostARequest(const http::ConnectionEnd &end)
+bool mayHaveLostRequest(const http::ConnectionEnd &end)
 {
     return end.lateLooks > 0 || end.unread == http::Arrived::Bytes
            || end.reason == http::EndReason::HeadLimit || end.reason == http::EndReason::CallerBroke
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void noteConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end)
+void recordConnectionEnd(kernel::Counters &counters, const http::ConnectionEnd &end)
 {
     const std::string reason(http::text(end.reason));
     const std::string unread(http::text(end.unread));
@@ -32,7 +32,7 @@
     if (end.lateLooks > 0) {
         counters.add("caller_late_looks", {}, end.lateLooks);
     }
-    if (mayHaveCostARequest(end)) {
+    if (mayHaveLostRequest(end)) {
         log().event("connection-ended",
                     {{"reason", reason},
                      {"unread", unread},
@@ -42,7 +42,7 @@
                      {"read_bytes", end.readBytes},
                      {"late_looks", end.lateLooks},
                      {"fault", end.fault}},
-                    "A request may have been lost with this connection, or nearly was.");
+                    "A request may have been lost, or nearly was, when this connection ended.");
     }
 }
 
--- a/src/services/PeerService.cpp
+++ b/src/services/PeerService.cpp
@@ -12,9 +12,10 @@
 namespace {
 
 constexpr std::size_t Ipv4AndUdpHeaders = 28;
-// One datagram or more is read between two looks. The system's usual buffer of 208 kB holds some
-// hundred of ours; a peer that keeps sending must not hold a waiter up.
-constexpr int MostLooks = 256;
+// At least one datagram is read between two polls. The system's default receive buffer of 208 kB
+// holds some hundred datagrams of this protocol. The limit keeps a peer that sends without pause
+// from blocking the caller of readPending().
+constexpr int MaxPolls = 256;
 
 const char *kindOf(const peer::Message &message)
 {
@@ -51,7 +52,7 @@
 
 void PeerService::send(const kernel::Endpoint &to, const peer::Message &message)
 {
-    if (!passes_(to)) {
+    if (!filter_(to)) {
         return;
     }
     const peer::Bytes datagram = peer::seal(peer::encode(message), keys_.front());
@@ -67,13 +68,14 @@
                           datagram.size() + Ipv4AndUdpHeaders);
 }
 
-asio::awaitable<void> PeerService::readWaiting(std::function<bool()> enough)
+asio::awaitable<void> PeerService::readPending(std::function<bool()> enough)
 {
     bool waiting = true;
-    for (int looks = 0; looks < MostLooks && waiting && !enough(); ++looks) {
+    for (int polls = 0; polls < MaxPolls && waiting && !enough(); ++polls) {
         waiting = http::arrivedAt(socket_.native_handle()) != http::Arrived::Nothing;
-        // Also when nothing is left: the last datagram may have been taken from the socket and wait
-        // for its handler, since the read that follows each one takes the next one at once.
+        // Yields to the event loop even if the socket is empty: the last datagram may have been
+        // read already while its handler still waits to run: the read that each handler starts
+        // takes the next datagram at once.
         co_await asio::post(context_.io, asio::use_awaitable);
     }
 }
@@ -86,16 +88,17 @@
                                        return;
                                    }
                                    if (!error) {
-                                       take(std::span(buffer_).first(bytes),
-                                            {from_.address().to_string(), from_.port()});
+                                       handleDatagram(std::span(buffer_).first(bytes),
+                                                      {from_.address().to_string(), from_.port()});
                                    }
                                    receiveNext();
                                });
 }
 
-void PeerService::take(std::span<const std::uint8_t> datagram, const kernel::Endpoint &from)
+void PeerService::handleDatagram(std::span<const std::uint8_t> datagram,
+                                 const kernel::Endpoint &from)
 {
-    if (!passes_(from)) {
+    if (!filter_(from)) {
         return;
     }
     const auto payload = peer::open(datagram, keys_);
--- a/src/services/PlatformService.cpp
+++ b/src/services/PlatformService.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A burst lets a box that starts read all it needs at once.
+// The burst lets a starting box read everything it needs at once.
 constexpr double ReadBurst = 20;
 constexpr double WriteBurst = 10;
 
@@ -46,7 +46,7 @@
         result.answer = StoreAnswer::Unavailable;
         break;
     default:
-        // A server's failure says nothing of whether the write took effect.
+        // A server error doesn't tell whether a write took effect.
         result.answer = answer.status >= 500 ? StoreAnswer::Lost : StoreAnswer::Unavailable;
         break;
     }
@@ -55,9 +55,9 @@
 
 StoreResult resultOf(const http::CallFailure &failure)
 {
-    const bool surelyWithout = failure.point == outcome::FailurePoint::BeforeConnect
-                               || failure.point == outcome::FailurePoint::ConnectedUnsent;
-    return {.answer = surelyWithout ? StoreAnswer::Unavailable : StoreAnswer::Lost};
+    const bool certainlyNoEffect = failure.point == outcome::FailurePoint::BeforeConnect
+                                   || failure.point == outcome::FailurePoint::ConnectedUnsent;
+    return {.answer = certainlyNoEffect ? StoreAnswer::Unavailable : StoreAnswer::Lost};
 }
 
 } // namespace
@@ -118,7 +118,7 @@
 }
 
 asio::awaitable<StoreResult> PlatformService::call(Kind kind, http::Request request,
-                                                   kernel::Duration longest)
+                                                   kernel::Duration answerTimeout)
 {
     const std::string kindText = kind == Kind::Read ? "read" : "write";
     if (!allowed(kind)) {
@@ -130,7 +130,7 @@
         request.fields.add("Authorization", "Bearer " + context_.settings.platformToken);
     }
     const http::CallTimeouts timeouts{.connect = context_.settings.platformTimeout,
-                                      .head = longest,
+                                      .head = answerTimeout,
                                       .part = context_.settings.platformTimeout};
     const auto answer = co_await http::call(context_.io, context_.settings.platform,
                                             std::move(request), timeouts);
--- a/src/services/Router.cpp
+++ b/src/services/Router.cpp
@@ -10,15 +10,15 @@
 #include "services/ControlService.h"
 #include "services/CrashService.h"
 #include "services/DirectoryService.h"
-#include "services/LoopWatch.h"
+#include "services/LoopStallMonitor.h"
 #include "services/MembershipService.h"
 #include "services/OwnerService.h"
 #include "services/PeerService.h"
 #include "services/PermitService.h"
 #include "services/PlacementService.h"
 #include "services/PlatformService.h"
+#include "services/ProcessIdentity.h"
 #include "services/SpillService.h"
-#include "services/Start.h"
 #include "services/StopService.h"
 
 #include <boost/asio.hpp>
@@ -36,8 +36,8 @@
     return Log;
 }
 
-// Boxes of the own hall, as the platform lists them.
-PeerDiscovery peerDiscoveryOf(Context &context)
+// Returns a source of the boxes in this box's hall, as the platform lists them.
+PeerDiscovery hallBoxSource(Context &context)
 {
     PeerDiscovery discovery;
     discovery.listed = [&context] {
@@ -57,11 +57,11 @@
 void addRouterServices(Context &context, std::function<void()> stopped)
 {
     auto &kernel = context.kernel;
-    kernel.add(std::make_unique<LoopWatch>(context));
+    kernel.add(std::make_unique<LoopStallMonitor>(context));
     kernel.add(std::make_unique<PeerService>(context));
     kernel.add(std::make_unique<PlatformService>(context));
     kernel.add(std::make_unique<DirectoryService>(context));
-    kernel.add(std::make_unique<MembershipService>(context, peerDiscoveryOf(context)));
+    kernel.add(std::make_unique<MembershipService>(context, hallBoxSource(context)));
     kernel.add(std::make_unique<CrashService>(context));
     kernel.add(std::make_unique<BackoffService>(context));
     kernel.add(std::make_unique<ConfigService>(context));
--- a/src/services/ServiceHandler.cpp
+++ b/src/services/ServiceHandler.cpp
@@ -23,17 +23,17 @@
 
 namespace {
 
-constexpr int MostAttempts = 3;
-constexpr std::size_t MostKeyBytes = 255;
+constexpr int MaxAttempts = 3;
+constexpr std::size_t MaxKeyBytes = 255;
 constexpr std::string_view Prefix = "/v1/services/";
-constexpr kernel::Duration ComeBackAfterFailure = 1s;
+constexpr kernel::Duration RetryDelayAfterFailure = 1s;
 
 bool isSafeMethod(const std::string &method)
 {
     return method == "GET" || method == "HEAD";
 }
 
-/** The path "/v1/services/NAME/rest?query" taken apart. */
+/** The parts of the path "/v1/services/NAME/rest?query". */
 struct Target
 {
     std::string service;
@@ -53,7 +53,7 @@
 
 } // namespace
 
-/** One call on its way. */
+/** Serves one call to a plain service. */
 class ServiceHandler::Run
 {
 public:
@@ -108,7 +108,7 @@
                          .body = request_.body});
         repeatable_ = isSafeMethod(request_.method) || service->repeatable;
         key_ = request_.fields.get("Idempotency-Key");
-        if (key_.size() > MostKeyBytes) {
+        if (key_.size() > MaxKeyBytes) {
             return refusalOf(ResultCode::BadRequest,
                              "the Idempotency-Key must have at most 255 bytes");
         }
@@ -133,71 +133,73 @@
                                           taken ? "a request with this key came before"
                                                 : "the key could not be claimed",
                                           taken ? kernel::Duration()
-                                                : kernel::Duration(ComeBackAfterFailure)));
+                                                : kernel::Duration(RetryDelayAfterFailure)));
                 co_return;
             }
             claim = *held;
         }
-        const std::optional<Refusal> failed = co_await attempts();
+        const std::optional<Refusal> failed = co_await runAttempts();
         if (!failed) {
             co_return;
         }
-        // Released before the caller is told, so that it can ask again under the same key at once.
+        // Released before the answer is sent, so that the caller can retry under the same key at
+        // once.
         if (keyed && failed->verdict.ran == outcome::Ran::NotRun) {
             co_await context_.kernel.find<ClaimService>("claims").release(claim);
         }
         co_await refuse(*failed);
     }
 
-    // Nothing: an answer was sent.
-    asio::awaitable<std::optional<Refusal>> attempts()
+    // Returns nothing if an answer was sent, else the refusal to send.
+    asio::awaitable<std::optional<Refusal>> runAttempts()
     {
         for (int number = 1;; ++number) {
-            const SendPermission leave =
+            const SendPermission permission =
                     co_await guard_.acquireSendPermission(context_.settings.firstTokenTimeout);
-            if (!leave.granted()) {
-                co_return tell(refusalOf(codeOf(leave), denialMessage(leave), leave.notBefore));
+            if (!permission.granted()) {
+                co_return summarised(refusalOf(codeOf(permission), denialMessage(permission),
+                                               permission.notBefore));
             }
-            const auto runner = choose();
+            const auto runner = chooseRunner();
             if (!runner) {
-                co_return tell(noRunner());
+                co_return summarised(noRunner());
             }
             ++handler_.inFlight_[runner->backend.hash()];
             auto answer = co_await call(*runner);
             --handler_.inFlight_[runner->backend.hash()];
-            noteBackoff(*runner, answer);
-            const auto failure = judgeAnswer(answer);
-            co_await noteEnd(*runner, failure);
+            recordBackoff(*runner, answer);
+            const auto failure = failureOf(answer);
+            co_await recordAttempt(*runner, failure);
             if (!failure) {
-                co_await pass(std::move(*answer));
+                co_await forwardAnswer(std::move(*answer));
                 co_return std::nullopt;
             }
             const Verdict verdict = outcome::classifyFailure(*failure, {repeatable_, false});
-            story_.add(verdict);
+            summary_.add(verdict);
             const std::string message =
                     answer ? "the service did not take the request" : answer.error().message;
-            const auto next =
-                    outcome::afterFailure(verdict, number, MostAttempts, handler_.budget_);
+            const auto next = outcome::afterFailure(verdict, number, MaxAttempts, handler_.budget_);
             if (!next.retry) {
-                co_return tell({next.verdict, message, ComeBackAfterFailure});
+                co_return summarised({next.verdict, message, RetryDelayAfterFailure});
             }
             context_.counters.add("retries", {{"reason", outcome::text(*failure)}});
             excluded_.insert(runner->backend.hash());
         }
     }
 
-    // The runner with the fewest calls of this router, ties by chance.
-    std::optional<store::ListedBackend> choose()
+    // Chooses the runner with the fewest calls in flight from this router; ties are broken at
+    // random.
+    std::optional<store::ListedBackend> chooseRunner()
     {
         auto runners =
                 context_.kernel.find<OwnerService>("owner").view().runnersOf(target_.service);
-        const auto &rests = context_.kernel.find<BackoffService>("rests");
-        someRest_ = false;
+        const auto &backoffs = context_.kernel.find<BackoffService>("rests");
+        someInBackoff_ = false;
         std::erase_if(runners, [&](const BackendView *runner) {
             const std::uint64_t hash = runner->listed.backend.hash();
-            const bool resting = rests.inBackoff(hash);
-            someRest_ = someRest_ || resting;
-            return resting || excluded_.contains(hash);
+            const bool inBackoff = backoffs.inBackoff(hash);
+            someInBackoff_ = someInBackoff_ || inBackoff;
+            return inBackoff || excluded_.contains(hash);
         });
         if (runners.empty()) {
             return std::nullopt;
@@ -211,16 +213,16 @@
 
     Refusal noRunner() const
     {
-        return someRest_
+        return someInBackoff_
                        ? refusalOf(ResultCode::ServersRest,
                                    "the runners of the service have asked for rest",
-                                   ComeBackAfterFailure)
+                                   RetryDelayAfterFailure)
                        : refusalOf(ResultCode::NoEngine, "no runner of the service can be reached",
-                                   ComeBackAfterFailure);
+                                   RetryDelayAfterFailure);
     }
 
-    void noteBackoff(const store::ListedBackend &runner,
-                     const tl::expected<http::Answer, http::CallFailure> &answer)
+    void recordBackoff(const store::ListedBackend &runner,
+                       const tl::expected<http::Answer, http::CallFailure> &answer)
     {
         if (answer) {
             context_.kernel.find<BackoffService>("rests").note(
@@ -251,7 +253,7 @@
     }
 
     std::optional<FailurePoint>
-    judgeAnswer(const tl::expected<http::Answer, http::CallFailure> &answer) const
+    failureOf(const tl::expected<http::Answer, http::CallFailure> &answer) const
     {
         if (!answer) {
             return answer.error().point;
@@ -264,9 +266,10 @@
                        : std::optional(FailurePoint::AnswerForeign);
     }
 
-    // A runner has no life of its own in the list: one that ends twice counts once.
-    asio::awaitable<void> noteEnd(const store::ListedBackend &runner,
-                                  std::optional<FailurePoint> failure)
+    // The platform's list has no incarnation of a runner, so the hash of its name stands in for it:
+    // a runner that crashes twice counts once.
+    asio::awaitable<void> recordAttempt(const store::ListedBackend &runner,
+                                        std::optional<FailurePoint> failure)
     {
         AttemptServer server;
         server.id = runner.backend.text();
@@ -278,7 +281,7 @@
                                 std::move(server));
     }
 
-    asio::awaitable<void> pass(http::Answer answer)
+    asio::awaitable<void> forwardAnswer(http::Answer answer)
     {
         const bool failed = answer.status >= 500;
         const ResultCode code = failed ? ResultCode::BackendFailed : ResultCode::Ok;
@@ -289,9 +292,9 @@
         co_await reply_.send(std::move(out));
     }
 
-    Refusal tell(Refusal refusal) const
+    Refusal summarised(Refusal refusal) const
     {
-        refusal.verdict = story_.finalVerdict(refusal.verdict);
+        refusal.verdict = summary_.finalVerdict(refusal.verdict);
         return refusal;
     }
 
@@ -318,8 +321,8 @@
     std::string key_;
     bool repeatable_ = false;
     std::set<std::uint64_t> excluded_;
-    bool someRest_ = false; ///< Of the runners, at the last choice.
-    outcome::AttemptSummary story_;
+    bool someInBackoff_ = false; ///< Whether a runner was in backoff when one was last chosen.
+    outcome::AttemptSummary summary_;
 };
 
 asio::awaitable<void> ServiceHandler::handle(http::Request request, http::Reply &reply,
