--- a/src/gateway/ObjectFeed.h
+++ b/src/gateway/ObjectFeed.h
@@ -4,8 +4,9 @@
  * outage: the missed changes may be many versions of a large object, of which only the newest
  * matters.
  *
- * If some boxes of the hall act as relays (store/SourceBook.h), the other boxes ask them instead of
- * the store, so that the calls to the store don't grow with the number of boxes in a hall.
+ * If some boxes of the hall act as relays (store/SourceSelector.h), the other boxes ask them
+ * instead of the store, so that the calls to the store don't grow with the number of boxes in a
+ * hall.
  *
  * An outage leaves the known state unchanged. Each answered watch also confirms that the store had
  * nothing newer when the watch was sent; an answer of a relay confirms this for the time of the
