--- a/src/forward/CrashTable.h
+++ b/src/forward/CrashTable.h
@@ -56,7 +56,7 @@
     Stopped ///< Not at all.
 };
 
-/** The name of \a standing for logs and counters. */
+/** The name of \a restriction for logs and counters. */
 const char *text(SendRestriction restriction);
 
 /** The settings of a crash table. */
--- a/src/gateway/ConnectionPool.h
+++ b/src/gateway/ConnectionPool.h
@@ -45,7 +45,7 @@
     /**
      * Returns \a connection after an exchange; keeps it if it can be used again, else closes it.
      * \param keptFor the idle timeout that the server announced.
-     * \param rested time since its answer arrived; empty if unknown.
+     * \param idleFor time since its answer arrived; empty if unknown.
      */
     void returnUsed(const forward::ListedServer &server, http::KeptConnection::Ptr connection,
                     std::optional<kernel::Duration> keptFor,
